--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -11,73 +11,73 @@
 )
 
 const (
-	// advicePause is how long a step waits after a question that gave no ticket.
-	advicePause = 300 * time.Millisecond
-	// adviceSlack is what an answer may take beyond its declared time: others'
-	// questions may be before it.
-	adviceSlack = 2 * time.Second
+	// adviceRetryDelay is how long a step waits after a request that returned no ticket.
+	adviceRetryDelay = 300 * time.Millisecond
+	// adviceQueueTime is added to the service's declared response time, since requests of
+	// others may be queued first.
+	adviceQueueTime = 2 * time.Second
 )
 
-// askAdvice asks the advising service, one question at a time, since it takes them
-// one at a time from each VM.
+// askAdvice calls the advice service. It sends one request at a time, since the service accepts
+// only one at a time from each VM.
 func (o *owner) askAdvice(ctx context.Context, now time.Time) {
-	if o.asking || o.s.config.Advise == nil {
+	if o.advicePending || o.s.config.Advise == nil {
 		return
 	}
 	q, ok := planner.Ask(planner.Input{Now: now, State: o.state})
 	if !ok {
 		return
 	}
-	o.asking = true
+	o.advicePending = true
 	queue := q.Step.Occurrence.Job.Queue
 	id := fmt.Sprintf("%s.%d.%d", q.Step.Occurrence.Job.Spec.ID, q.Step.Occurrence.Number, q.Step.Number)
-	e := &advised{question: q, step: id, lives: make(map[string]string), until: now.Add(queue.AdviceValid)}
+	e := &adviceResult{question: q, step: id, incarnations: make(map[string]string), until: now.Add(queue.AdviceValid)}
 	var workers []string
 	for _, vm := range q.VMs {
 		workers = append(workers, vm.WorkerID)
-		e.lives[vm.Name] = vm.Life
+		e.incarnations[vm.Name] = vm.Life
 	}
-	limit := queue.AdviceTime + time.Duration(len(workers))*queue.AdvicePerVM + adviceSlack
+	limit := queue.AdviceTime + time.Duration(len(workers))*queue.AdvicePerVM + adviceQueueTime
 	go func() {
 		call, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
 		e.tickets, e.err = o.s.config.Advise(call, id, workers)
-		_ = o.send(context.WithoutCancel(ctx), e) // the loop has ended if it cannot be told
+		_ = o.send(context.WithoutCancel(ctx), e) // fails only if the loop has ended
 	}()
 }
 
-// advised is the answer to a question.
-type advised struct {
-	question planner.Question
-	step     string
-	lives    map[string]string // of the workers when they were asked about, by VM
-	until    time.Time
-	tickets  map[string]string // by worker
-	err      error
+// adviceResult is the answer of the advice service.
+type adviceResult struct {
+	question     planner.Question
+	step         string
+	incarnations map[string]string // of the workers at the time of the request, by VM
+	until        time.Time
+	tickets      map[string]string // by worker
+	err          error
 }
 
-func (e *advised) apply(o *owner, now time.Time) {
-	o.asking, o.dirty = false, true
+func (e *adviceResult) apply(o *owner, now time.Time) {
+	o.advicePending, o.dirty = false, true
 	s := e.question.Step
 	if s.Tickets == nil {
 		s.Tickets = make(map[string]accountant.Ticket)
 	}
-	given := 0
+	allowed := 0
 	for _, vm := range e.question.VMs {
 		text, ok := e.tickets[vm.WorkerID]
-		t := accountant.Ticket{Life: e.lives[vm.Name]} // asked, and refused
+		t := accountant.Ticket{Life: e.incarnations[vm.Name]} // an empty ticket records a refusal
 		if ok {
-			given++
+			allowed++
 			t.Text, t.Until = text, e.until
 		}
 		if e.err == nil {
 			s.Tickets[vm.Name] = t
 		}
 	}
-	if given == 0 {
-		s.AdviseAt = now.Add(advicePause)
+	if allowed == 0 {
+		s.AdviseAt = now.Add(adviceRetryDelay)
 	}
-	fields := reporter.Fields{"step": e.step, "asked": len(e.question.VMs), "allowed": given}
+	fields := reporter.Fields{"step": e.step, "asked": len(e.question.VMs), "allowed": allowed}
 	if e.err != nil {
 		fields["error"] = e.err.Error()
 	}
--- a/internal/job/scheduler/bench_test.go
+++ b/internal/job/scheduler/bench_test.go
@@ -16,9 +16,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// BenchmarkReport measures a report of a busy VM, 14 runs and one new end, from the
-// agent's call to the owner's answer over a connection, the decoding and the accounting
-// included.
+// BenchmarkReport measures the handling of a report of a busy VM (14 runs and one new end) from
+// the agent's call to the owner's reply over a connection, including decoding and accounting.
 func BenchmarkReport(b *testing.B) {
 	s := New(Config{Cell: "c", EntryID: "e", Now: time.Now, Reporter: reporter.Discard(), Policy: func() *specifier.Policy { return &specifier.Policy{} }, Store: keeper.Calls{}, Meters: nil})
 	o := newOwner(s, 1, accountant.New(accountant.Config{}), time.Now())
@@ -41,7 +40,7 @@
 	served := make(chan error, 1)
 	go func() {
 		served <- connector.Serve(ctx, l, func(ctx context.Context, c *connector.Conn, _ string, params json.RawMessage) (any, error) {
-			return answer(params, func(r messenger.WorkReport) (messenger.WorkReply, error) { return o.report(ctx, c, r) })
+			return serveCall(params, func(r messenger.WorkReport) (messenger.WorkReply, error) { return o.report(ctx, c, r) })
 		}, nil)
 	}()
 	conn, err := connector.Dial(ctx, l.Addr().String(), nil)
--- a/internal/job/scheduler/explain.go
+++ b/internal/job/scheduler/explain.go
@@ -8,7 +8,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// explain tells the state of a job step by step, and why its tasks wait.
+// explain returns the state of a job by step and the reasons why its tasks wait.
 func (o *owner) explain(ctx context.Context, r messenger.WorkStateRequest) (messenger.WorkExplainReply, error) {
 	return ask(ctx, o, func(o *owner) messenger.WorkExplainReply {
 		j := o.state.Jobs[r.Job]
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -13,16 +13,17 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// flushPuts is how many records go with one transaction: each takes an expectation
-// and a put, the fence takes one entry.
-const flushPuts = (keeper.MaxTransactionEntries - 1) / 2
+// maxPutsPerTransaction is the number of records per transaction. Each needs an expectation and
+// a put; the fence takes one entry.
+const maxPutsPerTransaction = (keeper.MaxTransactionEntries - 1) / 2
 
-// conflictTries bounds, beyond one for each record, how often a write learns the revisions
-// of its records anew before it waits for the next one.
-const conflictTries = 4
+// extraConflictTries is how many attempts, beyond one for each record, a write makes to update
+// outdated revisions before it fails until the next flush.
+const extraConflictTries = 4
 
-// flush writes the progress of jobs that changed, one write at a time: what
-// changes meanwhile goes with the next, so writes grow with time and not with ends.
+// flush writes the progress of changed jobs, one write at a time. Changes during a write go
+// into the next one, so the number of writes grows with time, not with the number of ended
+// tasks.
 func (o *owner) flush(ctx context.Context) {
 	if o.flushing || o.s.config.Now().Before(o.flushAfter) {
 		return
@@ -32,11 +33,11 @@
 		return
 	}
 	o.flushing = true
-	o.flushAfter = o.s.config.Now().Add(flushGap)
-	e := &flushed{flush: f, states: make(map[string]accountant.JobState)}
+	o.flushAfter = o.s.config.Now().Add(minFlushInterval)
+	e := &flushResult{flush: f, states: make(map[string]accountant.JobState)}
 	var t []keeper.Put
 	for _, j := range f.Jobs {
-		puts, err := putsOf(j)
+		puts, err := changedRecords(j)
 		if err != nil {
 			o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"job": j.Spec.ID, "error": err.Error()})
 			continue
@@ -44,30 +45,30 @@
 		e.states[j.Spec.ID] = j.State
 		t = append(t, puts...)
 	}
-	t = append(t, o.lessons(o.s.config.Now())...)
+	t = append(t, o.learnedRecord(o.s.config.Now())...)
 	e.removals, o.removals = o.removals, nil
 	sentAt := o.s.config.Now()
 	go func() {
 		e.err = o.write(ctx, t, e.removals)
 		e.took = o.s.config.Now().Sub(sentAt)
-		// The loop has ended if it cannot be told; the next owner reads the store.
+		// Fails only if the loop has ended; the next owner reads the store.
 		_ = o.send(context.WithoutCancel(ctx), e)
 	}()
 }
 
-// learnedEvery is how often what was learned is stored. It goes with a write of
-// progress, so it costs no call.
-const learnedEvery = 5 * time.Second
+// learnedInterval is how often learned interference data is stored. It is part of a write of
+// progress and needs no call of its own.
+const learnedInterval = 5 * time.Second
 
-// learnedKey is the key of what owners of this cell learned, a learner's record.
+// learnedKey returns the key of the cell's learned interference data, a learner's record.
 func (s *Scheduler) learnedKey() string { return fmt.Sprintf("cells/%s/learned", s.config.Cell) }
 
-// lessons returns the record of what was learned if it is due.
-func (o *owner) lessons(now time.Time) []keeper.Put {
-	if now.Sub(o.learnedAt) < learnedEvery {
+// learnedRecord returns the record of learned interference data if it is due.
+func (o *owner) learnedRecord(now time.Time) []keeper.Put {
+	if now.Sub(o.learnedStoredAt) < learnedInterval {
 		return nil
 	}
-	o.learnedAt = now
+	o.learnedStoredAt = now
 	value, err := o.learner.Encode()
 	if err != nil {
 		o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"record": "learned", "error": err.Error()})
@@ -76,15 +77,15 @@
 	return []keeper.Put{{Key: o.s.learnedKey(), Value: value}}
 }
 
-// loadLessons takes over what earlier owners learned. Nothing depends on it but how soon
-// this owner decides as well as they did, so it does not fail the takeover.
-func (o *owner) loadLessons(ctx context.Context) {
+// loadLearned loads the interference data that earlier owners learned. Without it, decisions
+// are only worse until this owner has learned as much, so an error does not fail the takeover.
+func (o *owner) loadLearned(ctx context.Context) {
 	record, err := o.s.config.Store.GetRecord(ctx, o.s.learnedKey())
 	if keeper.IsErrKeyNotExist(err) {
 		return
 	}
 	if err == nil {
-		o.writer.saw(record.Key, record.Revision)
+		o.writer.setRevision(record.Key, record.Revision)
 		err = o.learner.Decode(record.Value)
 	}
 	if err != nil {
@@ -92,12 +93,12 @@
 	}
 }
 
-// putsOf returns the records of a job that changed.
+// changedRecords returns the records to write for a job that changed.
 //
-// Of a job that has ended only its id and state are kept: a new owner lists all
-// records, and on a link of 10 Mbit/s the payloads and steps of a minute's jobs took
-// longer than the call may last, so that no owner got through its takeover.
-func putsOf(j *accountant.Job) ([]keeper.Put, error) {
+// Of an ended job only the id and the state are kept. A new owner lists all records, and on a
+// 10 Mbit/s link the payloads and steps of one minute's jobs took longer than the call limit,
+// so that no owner completed its takeover.
+func changedRecords(j *accountant.Job) ([]keeper.Put, error) {
 	value, err := j.Encode()
 	if err != nil {
 		return nil, err
@@ -106,31 +107,30 @@
 	if !j.State.Final() {
 		return puts, nil
 	}
-	remains, err := j.EncodeRemains()
+	tombstone, err := j.EncodeRemains()
 	if err != nil {
 		return nil, err
 	}
-	return append(puts, keeper.Put{Key: JobKey(j.Spec.ID), Value: remains}), nil
+	return append(puts, keeper.Put{Key: JobKey(j.Spec.ID), Value: tombstone}), nil
 }
 
-// write makes one transaction for each so many records, and one for each so many
-// removals.
+// write stores and removes records, in as many transactions as their number requires.
 func (o *owner) write(ctx context.Context, puts []keeper.Put, removes []string) error {
-	for chunk := range slices.Chunk(puts, flushPuts) {
+	for chunk := range slices.Chunk(puts, maxPutsPerTransaction) {
 		if err := o.writer.put(ctx, chunk); err != nil {
 			return fmt.Errorf("store progress: %w", err)
 		}
 	}
-	for chunk := range slices.Chunk(removes, flushPuts) {
+	for chunk := range slices.Chunk(removes, maxPutsPerTransaction) {
 		t := keeper.Transaction{Expect: []keeper.Expectation{o.writer.fence}, Removes: chunk}
 		if _, err := o.s.config.Store.Transact(ctx, t); err != nil {
-			return fmt.Errorf("remove forgotten jobs: %w", err)
+			return fmt.Errorf("remove records of ended jobs: %w", err)
 		}
 	}
 	return nil
 }
 
-type flushed struct {
+type flushResult struct {
 	flush    *accountant.Flush
 	states   map[string]accountant.JobState
 	removals []string
@@ -138,28 +138,28 @@
 	err      error
 }
 
-func (e *flushed) apply(o *owner, now time.Time) {
+func (e *flushResult) apply(o *owner, now time.Time) {
 	o.flushing = false
 	o.state.EndFlush(e.flush, e.states, e.err)
 	if e.err != nil {
-		// Writing the same records again is harmless: nobody else writes them.
+		// Writing the same records again is safe: only the owner writes them.
 		o.removals = append(o.removals, e.removals...)
-		o.flushAfter = now.Add(flushPause)
+		o.flushAfter = now.Add(flushRetryDelay)
 		o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"jobs": len(e.flush.Jobs), "error": e.err.Error()})
 		return
 	}
-	o.s.config.Meters.flushed(e.took)
+	o.s.config.Meters.progressWritten(e.took)
 	o.s.config.Reporter.Report(reporter.ProgressStored, reporter.Fields{"jobs": len(e.flush.Jobs), "took": e.took.String()})
 }
 
-// storeMembers adds the VMs that wait to join and takes out those that leave, which are
-// granted nothing from now on: the write may count before its answer comes.
+// storeMembers writes the member list with joining VMs added and leaving ones removed. Leaving
+// VMs get no grants from now on, since the write may take effect before its answer arrives.
 func (o *owner) storeMembers(ctx context.Context) {
-	if o.storing || len(o.joining)+len(o.leaving) == 0 {
+	if o.storingMembers || len(o.joining)+len(o.leaving) == 0 {
 		return
 	}
-	o.storing = true
-	e := &membersStored{}
+	o.storingMembers = true
+	e := &membersResult{}
 	for n := range o.members {
 		switch {
 		case !o.leaving[n] || o.joining[n]:
@@ -180,7 +180,7 @@
 	o.joining, o.leaving = make(map[string]bool), make(map[string]bool)
 	go func() {
 		e.err = o.writeMembers(ctx, e.names)
-		_ = o.send(context.WithoutCancel(ctx), e) // the loop has ended if it cannot be told
+		_ = o.send(context.WithoutCancel(ctx), e) // fails only if the loop has ended
 	}()
 }
 
@@ -192,16 +192,16 @@
 	return o.writer.put(ctx, []keeper.Put{{Key: o.s.membersKey(), Value: value}})
 }
 
-type membersStored struct {
+type membersResult struct {
 	names []string
 	err   error
 }
 
-func (e *membersStored) apply(o *owner, now time.Time) {
-	o.storing = false
+func (e *membersResult) apply(o *owner, now time.Time) {
+	o.storingMembers = false
 	if e.err != nil {
-		// The agents' next reports ask to join, or to be taken out, again.
-		o.dropAfter = now.Add(flushPause)
+		// The next reports of the agents add or remove them again.
+		o.dropAfter = now.Add(flushRetryDelay)
 		o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"members": len(e.names), "error": e.err.Error()})
 		return
 	}
--- a/internal/job/scheduler/follow_test.go
+++ b/internal/job/scheduler/follow_test.go
@@ -12,26 +12,26 @@
 	"bamboospread/internal/store/keeper"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func followBed(calls keeper.Calls) *Scheduler {
+func newFollowScheduler(calls keeper.Calls) *Scheduler {
 	policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 	return New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }, Store: calls})
 }
 
-// Guards against tasks of a cancelled job that run on for ten seconds: the connection of
-// the owner's watch goes silent, and the entry's hint was lost with another one.
-func TestCancellationIsHeardThoughTheWatchWentSilent(t *testing.T) {
-	const heardWithin = 3 * time.Second
-	silent := true
-	s := followBed(keeper.Calls{Watch: func(ctx context.Context, w keeper.WatchOptions) (keeper.WatchResult, error) {
-		if silent { // until the client gives it up
-			silent = false
+// Guards against tasks of a cancelled job that continue for ten seconds: the connection of the
+// owner's watch stalls, and the entry's hint is lost on another one.
+func TestCancellationReceivedAfterWatchStalls(t *testing.T) {
+	const receiveLimit = 3 * time.Second
+	stalled := true
+	s := newFollowScheduler(keeper.Calls{Watch: func(ctx context.Context, w keeper.WatchOptions) (keeper.WatchResult, error) {
+		if stalled { // until the client times out
+			stalled = false
 			select {
 			case <-ctx.Done():
 			case <-time.After(w.Wait):
 			}
-			return keeper.WatchResult{}, errSilent
+			return keeper.WatchResult{}, errNoAnswer
 		}
 		if w.After >= 7 {
 			<-ctx.Done()
@@ -48,18 +48,18 @@
 	case e := <-o.events:
 		e.apply(o, time.Now())
 		if !o.cancelled[stoppedJob] {
-			t.Errorf("heard of %+v", e)
+			t.Errorf("no cancellation after event %+v", e)
 		}
-	case <-time.After(heardWithin):
-		t.Errorf("nothing heard within %s", heardWithin)
+	case <-time.After(receiveLimit):
+		t.Errorf("no event within %s", receiveLimit)
 	}
 }
 
-// Guards against a cancelled job that is started: at a takeover its cancellation is listed
-// and its record is not, which a watch or a hint brings later.
-func TestInheritedCancellationWaitsForItsJob(t *testing.T) {
+// Guards against starts of a cancelled job: the takeover lists the cancellation but not yet the
+// job, which a watch or a hint delivers later.
+func TestCancellationListedBeforeItsJob(t *testing.T) {
 	job := keeper.Record{Key: JobKey(stoppedJob), Revision: 5, Value: []byte(`{"id":"` + stoppedJob + `","queue":"q","steps":[{"count":1}]}`)}
-	s := followBed(keeper.Calls{
+	s := newFollowScheduler(keeper.Calls{
 		FindRecords: func(_ context.Context, l keeper.ListOptions) (keeper.ListResult, error) {
 			if l.Prefix == WorkPrefix {
 				return keeper.ListResult{Records: []keeper.Record{{Key: CancelKey(stoppedJob), Revision: 7}}, Revision: 7}, nil
@@ -72,8 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordSeen{job, seenByWatch}.apply(o, time.Now())
+	recordSeen{job, sourceWatch}.apply(o, time.Now())
 	if got := o.state.Jobs[stoppedJob]; got == nil || got.State != accountant.JobCancelled {
-		t.Errorf("the job is %+v", got)
+		t.Errorf("job is %+v, want it cancelled", got)
 	}
 }
--- a/internal/job/scheduler/meters.go
+++ b/internal/job/scheduler/meters.go
@@ -9,10 +9,10 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Meters count what an owner decides. A nil Meters counts nothing.
+// Meters counts an owner's decisions. A nil Meters counts nothing.
 type Meters struct{ set *metrics.Set }
 
-// NewMeters returns meters that write to set.
+// NewMeters returns Meters that registers its metrics in set.
 func NewMeters(set *metrics.Set) *Meters { return &Meters{set: set} }
 
 func (m *Meters) runEnded(how accountant.End) {
@@ -21,7 +21,7 @@
 	}
 }
 
-func (m *Meters) started(r *accountant.Run, now time.Time) {
+func (m *Meters) runStarted(r *accountant.Run, now time.Time) {
 	if m == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-func (m *Meters) flushed(took time.Duration) {
+func (m *Meters) progressWritten(took time.Duration) {
 	if m != nil {
 		m.set.GetOrCreateHistogram("bamboospread_job_progress_write_seconds").Update(took.Seconds())
 	}
--- a/internal/job/scheduler/orders_test.go
+++ b/internal/job/scheduler/orders_test.go
@@ -13,25 +13,25 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Guards against an owner that floods an agent with the stop that it is carrying out.
-func TestAStopThatTheAgentTellsOfIsNotOrderedAgain(t *testing.T) {
-	b := newStopBed(t)
-	b.hear()
-	b.cancel(seenByHint)
-	orders := b.survey(0)
+// Guards against an owner that repeats a stop order while the agent carries it out.
+func TestStopInProgressNotOrderedAgain(t *testing.T) {
+	b := newStopFixture(t)
+	b.sendReport()
+	b.cancel(sourceHint)
+	orders := b.runChecks(0)
 	if len(orders) != 1 {
 		t.Fatalf("%d orders", len(orders))
 	}
 	b.report.OrdersSeen, b.report.Runs[0].Stopping = orders[0].Seq, true
 	for range 5 {
-		b.hear()
-		if again := b.survey(surveyGap); len(again) != 0 {
+		b.sendReport()
+		if again := b.runChecks(minCheckInterval); len(again) != 0 {
 			t.Fatalf("ordered again: %+v", again)
 		}
 	}
 }
 
-// lineWriter hands on each line that is written.
+// lineWriter passes on each written line.
 type lineWriter chan string
 
 func (w lineWriter) Write(p []byte) (int, error) {
@@ -39,9 +39,9 @@
 	return len(p), nil
 }
 
-// Guards against orders that an agent refuses and its owner takes for given: the session
-// ends, and the agent tells in the next one what it has.
-func TestASessionEndsWhenItsOrdersAreRefused(t *testing.T) {
+// Guards against an owner that assumes that refused orders were accepted: the session must end,
+// and the agent reports its state in the next one.
+func TestSessionClosedWhenOrdersRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	refuse := func(context.Context, *connector.Conn, string, json.RawMessage) (any, error) {
-		return nil, connector.Errorf(messenger.CodeBadRequest, "void")
+		return nil, connector.Errorf(messenger.CodeBadRequest, "expired")
 	}
 	opened := make(chan *connector.Conn, 1)
 	go func() { _ = connector.Serve(ctx, l, refuse, func(c *connector.Conn) { opened <- c }) }()
@@ -58,8 +58,8 @@
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	b := newStopBed(t)
-	b.hear()
+	b := newStopFixture(t)
+	b.sendReport()
 	s := b.o.sessions["vm-1"]
 	lines := make(chan string, 10)
 	r, err := reporter.New(reporter.Config{Writer: lineWriter(lines), Format: "text", Level: "warn"})
@@ -71,9 +71,9 @@
 	select {
 	case <-agent.Done():
 	case <-time.After(3 * time.Second):
-		t.Error("the session goes on")
+		t.Error("the session has not ended")
 	}
 	if line := <-lines; !strings.Contains(line, "orders not taken") || !strings.Contains(line, "vm=vm-1") {
-		t.Errorf("told %q", line)
+		t.Errorf("logged %q", line)
 	}
 }
--- a/internal/job/scheduler/peers.go
+++ b/internal/job/scheduler/peers.go
@@ -8,35 +8,35 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// peerLife is how long an entry counts as live after it was heard: some of its
-// hellos, sent every second, may be lost.
-const peerLife = 10 * time.Second
+// peerTTL is how long an entry stays listed after its last hello. Hellos are sent every second;
+// some may be lost.
+const peerTTL = 10 * time.Second
 
-// peers are the entries that were heard lately, for agents that lose the owner
-// while the store is away.
+// peers holds the entries with recent contact. Agents use them if they lose the owner while the
+// store is unavailable.
 type peers struct {
-	now  func() time.Time
-	mu   sync.Mutex
-	seen map[messenger.PeerAddress]time.Time
+	now      func() time.Time
+	mu       sync.Mutex
+	lastSeen map[messenger.PeerAddress]time.Time
 }
 
 func newPeers(now func() time.Time) *peers {
-	return &peers{now: now, seen: make(map[messenger.PeerAddress]time.Time)}
+	return &peers{now: now, lastSeen: make(map[messenger.PeerAddress]time.Time)}
 }
 
 func (p *peers) add(a messenger.PeerAddress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seen[a] = p.now()
+	p.lastSeen[a] = p.now()
 }
 
 func (p *peers) list() []messenger.PeerAddress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []messenger.PeerAddress
-	for a, at := range p.seen {
-		if p.now().Sub(at) > peerLife {
-			delete(p.seen, a)
+	for a, at := range p.lastSeen {
+		if p.now().Sub(at) > peerTTL {
+			delete(p.lastSeen, a)
 			continue
 		}
 		all = append(all, a)
--- a/internal/job/scheduler/policy_test.go
+++ b/internal/job/scheduler/policy_test.go
@@ -10,17 +10,18 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Guards against starts in a zone that operators have taken out: the store refuses the reads of
-// the policy and still renews the ownership. What lasts is not stopped to start elsewhere then.
-func TestNothingStartsByAnOldPolicy(t *testing.T) {
+// Guards against starts in a zone that operators have taken out, while the store refuses reads
+// of the policy but still renews the ownership lease. Long-running tasks are not moved
+// meanwhile, either.
+func TestNoStartWithStalePolicy(t *testing.T) {
 	tests := []struct {
 		name   string
 		age    time.Duration
 		starts int
 	}{
-		{"just read", time.Second, 1},
-		{"the longest", policyTrust, 1},
-		{"too old", policyTrust + time.Millisecond, 0},
+		{"recent", time.Second, 1},
+		{"at the limit", maxPolicyAge, 1},
+		{"above the limit", maxPolicyAge + time.Millisecond, 0},
 		{"never read", 1 << 62, 0},
 	}
 	for _, tt := range tests {
@@ -36,19 +37,19 @@
 				VM: "vm-1", Session: 1, Life: "1", Ready: true, Granted: true,
 				Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 			}
-			read, facts, err := readReport(r)
+			parsed, facts, err := parseReport(r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			e := reportMade{report: r, read: read, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+			e := reportReceived{report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
 			e.apply(o, now)
 			age = tt.age
 			state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: specifier.Resources{CPUMillis: 1}}}}, time.Time{}, now)
 			o.rearrange(now)
 			if got := !o.movedAt.IsZero(); got != (tt.starts > 0) {
-				t.Errorf("looked for moves: %t", got)
+				t.Errorf("searched for moves: %t", got)
 			}
-			o.startWaiting(now)
+			o.startWaitingTasks(now)
 			if got := len(o.sessions["vm-1"].queued); got != tt.starts {
 				t.Errorf("%d starts ordered, want %d", got, tt.starts)
 			}
--- a/internal/job/scheduler/query.go
+++ b/internal/job/scheduler/query.go
@@ -9,25 +9,26 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// hint takes a record that an entry has stored.
+// hint adds a record that an entry has stored.
 func (o *owner) hint(ctx context.Context, h messenger.WorkHint) error {
-	e := recordSeen{keeper.Record{Key: h.Key, Value: h.Value, Revision: h.Revision}, seenByHint}
+	e := recordSeen{keeper.Record{Key: h.Key, Value: h.Value, Revision: h.Revision}, sourceHint}
 	if err := o.send(ctx, e); err != nil {
 		return connector.Errorf(messenger.CodeNotOwner, "%v", err)
 	}
 	return nil
 }
 
-// question asks the loop for something.
-type question[A any] struct {
+// query is an event that evaluates a function in the loop.
+type query[A any] struct {
 	ask    func(o *owner) A
 	answer chan A
 }
 
-func (q question[A]) apply(o *owner, _ time.Time) { q.answer <- q.ask(o) }
+func (q query[A]) apply(o *owner, _ time.Time) { q.answer <- q.ask(o) }
 
+// ask evaluates f in the owner's loop and returns its result.
 func ask[A any](ctx context.Context, o *owner, f func(o *owner) A) (A, error) {
-	q := question[A]{ask: f, answer: make(chan A, 1)}
+	q := query[A]{ask: f, answer: make(chan A, 1)}
 	var none A
 	if err := o.send(ctx, q); err != nil {
 		return none, connector.Errorf(messenger.CodeNotOwner, "%v", err)
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -7,27 +7,27 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// rearrange stops what is to start elsewhere, or what others are to start in place of.
+// rearrange stops runs that should continue elsewhere or make way for others.
 func (o *owner) rearrange(now time.Time) {
-	if o.stalePolicy() {
+	if o.isPolicyStale() {
 		return
 	}
 	o.yield(now)
-	o.takeTurns(now)
+	o.rotate(now)
 	o.evict(now)
 	o.preempt(now)
-	if now.Sub(o.movedAt) >= moveGapOf(len(o.state.VMs)) {
+	if now.Sub(o.movedAt) >= moveIntervalFor(len(o.state.VMs)) {
 		o.movedAt = now
 		o.move(now)
 	}
 }
 
-// moveGapOf is the time between looks for moves: those that a fleet needs grow with it.
-func moveGapOf(vms int) time.Duration {
-	return max(min(moveGap, moveGap*moveVMs/time.Duration(max(vms, 1))), moveGapLeast)
+// moveIntervalFor returns the time between searches for moves. Larger fleets need more moves.
+func moveIntervalFor(vms int) time.Duration {
+	return max(min(moveInterval, moveInterval*moveIntervalVMs/time.Duration(max(vms, 1))), minMoveInterval)
 }
 
-// move stops lasting tasks that should start anew on other VMs.
+// move stops long-running tasks that should restart on other VMs.
 func (o *owner) move(now time.Time) {
 	for _, m := range planner.Moves(o.input(now)) {
 		o.s.config.Reporter.Report(reporter.JobMoveDecided, reporter.Fields{"task": m.Run.Key().Task.String(), "run": m.Run.Number, "vm": m.Run.VM.Name, "to": m.To.Name, "opens-cpu": int64(m.Gain)})
@@ -41,19 +41,19 @@
 	}
 }
 
-// yield stops lasting tasks where urgent ones wait for room.
+// yield stops long-running tasks where urgent ones wait for free capacity.
 func (o *owner) yield(now time.Time) {
-	runs, pressed := planner.Yields(o.input(now))
-	if pressed {
-		o.pressedAt = now
+	runs, urgentDelayed := planner.Yields(o.input(now))
+	if urgentDelayed {
+		o.urgentDelayedAt = now
 	}
 	for _, r := range runs {
 		r.Task.Yielded = o.orderStop(r, "yields to urgent tasks")
 	}
 }
 
-// takeTurns stops lasting tasks in whose place others come back that have been away for long.
-func (o *owner) takeTurns(now time.Time) {
+// rotate stops long-running tasks to resume others that have not run for long.
+func (o *owner) rotate(now time.Time) {
 	for _, t := range planner.Turns(o.input(now)) {
 		if o.orderStop(t.Run, "takes turns with a lasting task") {
 			t.Run.Task.Yielded = true
@@ -62,14 +62,14 @@
 	}
 }
 
-// evict stops filling tasks that stand nearly still and can go on elsewhere.
+// evict stops starved best-effort tasks that can continue elsewhere.
 func (o *owner) evict(now time.Time) {
 	for _, r := range planner.Evictions(o.input(now)) {
 		o.orderStop(r, "can go on elsewhere")
 	}
 }
 
-// preempt stops filling tasks that hold the memory that lasting ones wait for.
+// preempt stops best-effort tasks that hold memory that long-running ones wait for.
 func (o *owner) preempt(now time.Time) {
 	for _, r := range planner.Preemptions(o.input(now)) {
 		o.orderStop(r, "makes room for a lasting task")
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler is the owner of a cell's jobs: it competes for the ownership,
-// takes over what the store and the agents know, and then gives orders until it
-// loses the cell. The store keeps accepted jobs, cancellations and ends; what runs
-// is known to the agents, which tell each new owner.
+// Package scheduler implements the owner of a cell's jobs: it competes for the ownership, loads
+// the state from the store and the agents, and then sends orders until it loses the cell. The
+// store keeps accepted jobs, cancellations and ends; the agents know what runs and report it to
+// each new owner.
 package scheduler
 
 import (
@@ -20,70 +20,72 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Keys in the store.
+// Keys of records in the store.
 const (
-	// WorkPrefix begins the keys that entries write and the owner follows.
+	// WorkPrefix is the prefix of the keys that entries write and the owner watches.
 	WorkPrefix     = "work/"
 	jobPrefix      = WorkPrefix + "jobs/"
 	cancelPrefix   = WorkPrefix + "cancels/"
 	progressPrefix = "progress/"
 )
 
-// JobKey is the key of an accepted job.
+// JobKey returns the key of an accepted job.
 func JobKey(id string) string { return jobPrefix + id }
 
-// CancelKey is the key that says that a job was cancelled.
+// CancelKey returns the key of a job's cancellation.
 func CancelKey(id string) string { return cancelPrefix + id }
 
-// ProgressKey is the key of a job's progress, an accountant.Record.
+// ProgressKey returns the key of a job's progress, an accountant.Record.
 func ProgressKey(id string) string { return progressPrefix + id }
 
-// Lengths that owner and agents share.
+// Durations that the owner and the agents share.
 const (
-	// DefaultGrant is how long an agent may let its runs go on without hearing the
-	// owner. It outlives a change of owner (some 2.5 s) and a restart of the agent's
-	// process, and it is what a task on a VM that died has to wait.
+	// DefaultGrant is how long an agent may continue its runs without contact with the owner.
+	// It is longer than a change of owner (some 2.5 s) and a restart of the agent's process.
+	// Tasks of a failed VM wait this long before they run elsewhere.
 	DefaultGrant = 5 * time.Second
-	// DefaultLease is the store lease of the owner.
+	// DefaultLease is the duration of the owner's lease in the store.
 	DefaultLease = 2 * time.Second
-	// grantSlack covers a worker's clock that is 2% slow and the time that an
-	// answer takes from the owner to the agent.
+	// grantSlack covers a worker clock that is 2% slow and the delivery of a reply from the
+	// owner to the agent.
 	grantSlack = 300 * time.Millisecond
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 )
 
 // Config holds the settings of a Scheduler.
 type Config struct {
 	Cell    string
 	EntryID string
-	Address string // JSON-RPC, told to others
+	Address string // JSON-RPC address, published to other processes
 	Store   keeper.Calls
 	Lease   time.Duration // 0: DefaultLease
 	Grant   time.Duration // 0: DefaultGrant
-	// Patience is how long a vacant cell is left to other entries.
+	// Patience is how long a vacant cell is left to other entries before this one claims it.
 	Patience time.Duration
 	Policy   func() *specifier.Policy
-	// PolicyAge is how long ago the policy was surely the newest; nil if it always is.
+	// PolicyAge returns the time since the policy was last confirmed to be the newest; nil if
+	// it always is.
 	PolicyAge func() time.Duration
-	// Advise asks which workers may run a step and returns a ticket for each that
-	// may; nil if no service advises.
+	// Advise asks the advice service which workers may run a step and returns a ticket for each
+	// that may; nil without such a service.
 	Advise func(ctx context.Context, step string, workers []string) (map[string]string, error)
-	// StoreFor stores a record for an entry that does not reach the store.
+	// StoreFor stores a record for an entry that cannot reach the store.
 	StoreFor func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
-	Now      func() time.Time // counts suspensions, does not jump
+	Now      func() time.Time // monotonic, includes time in suspension
 	Reporter *reporter.Reporter
 	Meters   *Meters
 }
 
-// Scheduler is one process's part in owning a cell. It is safe for concurrent use.
+// Scheduler competes for the ownership of a cell and schedules the cell's jobs while it holds
+// it. It is safe for concurrent use.
 type Scheduler struct {
 	config  Config
 	elector *elector.Elector
-	owner   atomic.Pointer[owner] // while this process owns the cell
+	owner   atomic.Pointer[owner] // nil unless this process owns the cell
 	peers   *peers
 }
 
-// New returns a Scheduler; Run makes it compete.
+// New returns a Scheduler. It competes for the cell once Run is called.
 func New(c Config) *Scheduler {
 	if c.Grant <= 0 {
 		c.Grant = DefaultGrant
@@ -102,34 +104,34 @@
 	return &Scheduler{config: c, elector: e, peers: newPeers(c.Now)}
 }
 
-// Owner returns the owner of the cell as far as this process knows.
+// Owner returns the last known owner of the cell.
 func (s *Scheduler) Owner() (messenger.CellOwner, bool) { return s.elector.Known() }
 
-// Owns tells whether this process owns the cell now.
+// Owns reports whether this process owns the cell.
 func (s *Scheduler) Owns() bool { return s.owner.Load() != nil }
 
-// Run competes for the cell and owns it by turns until ctx ends.
+// Run alternates between competing for the cell and owning it until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := s.elector.Acquire(ctx); err != nil {
 			return err
 		}
-		err := s.own(ctx)
+		err := s.runOwnership(ctx)
 		if ctx.Err() == nil {
 			s.config.Reporter.Report(reporter.CellLost, reporter.Fields{"error": fmt.Sprint(err)})
-			_ = pauser.Pause(ctx, retryPause)
+			_ = pauser.Pause(ctx, retryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// own takes the cell over and works until the ownership ends.
-func (s *Scheduler) own(ctx context.Context) error {
+// runOwnership takes over the cell and schedules its jobs until the ownership ends.
+func (s *Scheduler) runOwnership(ctx context.Context) error {
 	defer s.release(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	kept := make(chan error, 1)
-	go func() { kept <- s.elector.Keep(ctx) }()
+	keepErr := make(chan error, 1)
+	go func() { keepErr <- s.elector.Keep(ctx) }()
 	epoch, err := s.raiseEpoch(ctx)
 	if err != nil {
 		return err
@@ -144,53 +146,54 @@
 	o.writer.fence = s.elector.Fence()
 	s.owner.Store(o)
 	s.config.Reporter.Report(reporter.CellTaken, reporter.Fields{"epoch": epoch, "jobs": len(o.state.Jobs)})
-	ran := make(chan error, 1)
-	go func() { ran <- o.run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- o.run(ctx) }()
 	select {
-	case err = <-kept:
+	case err = <-keepErr:
 		cancel()
-		<-ran
-	case err = <-ran:
+		<-runErr
+	case err = <-runErr:
 		cancel()
-		<-kept
+		<-keepErr
 	}
 	return err
 }
 
-const releaseLimit = 500 * time.Millisecond
+const releaseTimeout = 500 * time.Millisecond
 
-// release gives the ownership up, so that a planned stop costs the others no wait.
+// release gives up the ownership, so that after a planned stop other entries need not wait for
+// the lease to expire.
 func (s *Scheduler) release(ctx context.Context) {
 	s.owner.Store(nil)
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseLimit)
+	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := s.elector.Release(limit); err != nil && !keeper.IsErrLeaseNotExist(err) {
 		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"error": err.Error()})
 	}
 }
 
-// raiseEpoch gives this ownership a number above all before it. Workers refuse
-// orders with a lower number than they have seen, which makes an owner that was
-// replaced and does not know it harmless.
+// raiseEpoch assigns this ownership an epoch above all earlier ones. Workers reject orders of a
+// lower epoch than they have seen, so an owner that was replaced without noticing cannot start
+// or stop runs.
 func (s *Scheduler) raiseEpoch(ctx context.Context) (int64, error) {
 	key := fmt.Sprintf("cells/%s/epoch", s.config.Cell)
 	for {
-		epoch, err := s.tryEpoch(ctx, key)
+		epoch, err := s.tryRaiseEpoch(ctx, key)
 		if err == nil {
 			return epoch, nil
 		}
 		if !s.elector.Held() {
 			return 0, fmt.Errorf("raise epoch: %w", err)
 		}
-		if err := pauser.Pause(ctx, retryPause); err != nil {
+		if err := pauser.Pause(ctx, retryDelay); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// tryEpoch makes one attempt. A write whose answer was lost may have counted; the
-// next attempt then takes a number above it, which is as good.
-func (s *Scheduler) tryEpoch(ctx context.Context, key string) (int64, error) {
+// tryRaiseEpoch makes one attempt. A write whose answer was lost may have succeeded; the next
+// attempt then raises the epoch further, which is equally valid.
+func (s *Scheduler) tryRaiseEpoch(ctx context.Context, key string) (int64, error) {
 	var last int64
 	record, err := s.config.Store.GetRecord(ctx, key)
 	switch {
@@ -210,10 +213,10 @@
 	return last + 1, err
 }
 
-// Handle answers a call of an agent or an entry.
+// Handle serves a call of an agent or an entry.
 func (s *Scheduler) Handle(ctx context.Context, c *connector.Conn, method string, params json.RawMessage) (any, error) {
 	if method == messenger.MethodWorkOwner {
-		return s.whoOwns(), nil
+		return s.ownerInfo(), nil
 	}
 	o := s.owner.Load()
 	if o == nil || !s.elector.Held() {
@@ -221,29 +224,29 @@
 	}
 	switch method {
 	case messenger.MethodWorkReport:
-		return answer(params, func(r messenger.WorkReport) (messenger.WorkReply, error) { return o.report(ctx, c, r) })
+		return serveCall(params, func(r messenger.WorkReport) (messenger.WorkReply, error) { return o.report(ctx, c, r) })
 	case messenger.MethodWorkHint:
-		return answer(params, func(h messenger.WorkHint) (messenger.Empty, error) { return messenger.Empty{}, o.hint(ctx, h) })
+		return serveCall(params, func(h messenger.WorkHint) (messenger.Empty, error) { return messenger.Empty{}, o.hint(ctx, h) })
 	case messenger.MethodWorkStore:
-		return answer(params, func(q messenger.WorkStoreRequest) (messenger.WorkStoreReply, error) {
+		return serveCall(params, func(q messenger.WorkStoreRequest) (messenger.WorkStoreReply, error) {
 			return s.config.StoreFor(ctx, q), nil
 		})
 	case messenger.MethodWorkState:
-		return answer(params, func(r messenger.WorkStateRequest) (messenger.WorkStateReply, error) { return o.jobState(ctx, r) })
+		return serveCall(params, func(r messenger.WorkStateRequest) (messenger.WorkStateReply, error) { return o.jobState(ctx, r) })
 	case messenger.MethodWorkPending:
-		return answer(params, func(r messenger.WorkPendingRequest) (messenger.WorkPendingReply, error) { return o.pending(ctx, r) })
+		return serveCall(params, func(r messenger.WorkPendingRequest) (messenger.WorkPendingReply, error) { return o.pending(ctx, r) })
 	case messenger.MethodWorkExplain:
-		return answer(params, func(r messenger.WorkStateRequest) (messenger.WorkExplainReply, error) { return o.explain(ctx, r) })
+		return serveCall(params, func(r messenger.WorkStateRequest) (messenger.WorkExplainReply, error) { return o.explain(ctx, r) })
 	case messenger.MethodWorkHello:
-		return answer(params, func(p messenger.PeerAddress) (messenger.WorkOwner, error) {
+		return serveCall(params, func(p messenger.PeerAddress) (messenger.WorkOwner, error) {
 			s.peers.add(p)
-			return s.whoOwns(), nil
+			return s.ownerInfo(), nil
 		})
 	}
 	return nil, connector.Errorf(messenger.CodeBadRequest, "unknown method %s", method)
 }
 
-func answer[Q, A any](params json.RawMessage, do func(Q) (A, error)) (any, error) {
+func serveCall[Q, A any](params json.RawMessage, do func(Q) (A, error)) (any, error) {
 	q, err := connector.Decode[Q](params)
 	if err != nil {
 		return nil, err
@@ -255,7 +258,7 @@
 	return a, nil
 }
 
-func (s *Scheduler) whoOwns() messenger.WorkOwner {
+func (s *Scheduler) ownerInfo() messenger.WorkOwner {
 	w := messenger.WorkOwner{Entries: s.peers.list()}
 	if known, ok := s.elector.Known(); ok {
 		w.Owner = known
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -15,56 +15,56 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// ordersLimit is how long an agent may take to take orders. After it the session
-// is over and the agent opens another.
-const ordersLimit = time.Second
+// ordersTimeout is how long an agent may take to accept orders. After it the session ends and
+// the agent opens another.
+const ordersTimeout = time.Second
 
 // session is an agent's session with this owner.
 type session struct {
 	vm      *accountant.VM
 	number  int64
-	process int64   // of the agent
-	ended   []int64 // the agent's processes before, the latest last
+	process int64   // identifies the agent's process
+	ended   []int64 // the agent's earlier processes, the latest last
 	conn    *connector.Conn
 	epoch   int64
-	// granted is what the agent itself tells: an order may overtake the answer that
-	// grants, and without a grant the agent has no lease to start anything under.
+	// granted is as reported by the agent. An order may overtake the reply with the grant, and
+	// without a grant the agent has no lease to start anything under.
 	granted bool
 
 	reporter *reporter.Reporter
 
-	queued      []messenger.WorkOrder // for the loop only
-	toldEnd     int64
-	toldEntries []messenger.PeerAddress
+	queued        []messenger.WorkOrder // accessed by the loop only, as are the next two
+	sentEndStored int64
+	sentEntries   []messenger.PeerAddress
 
 	mu      sync.Mutex
 	outbox  []messenger.WorkOrders
 	sending bool
 }
 
-// reportMade is a report that waits for its answer.
-type reportMade struct {
-	conn   *connector.Conn
-	gone   <-chan struct{} // ends with the connection
-	report messenger.WorkReport
-	facts  accountant.Facts
-	read   accountant.Report
-	answer chan messenger.WorkReply
+// reportReceived is the event of a report. The sender waits for its answer.
+type reportReceived struct {
+	conn     *connector.Conn
+	connDone <-chan struct{} // closed with the connection
+	report   messenger.WorkReport
+	facts    accountant.Facts
+	parsed   accountant.Report
+	answer   chan messenger.WorkReply
 }
 
-// report takes an agent's report and answers once it is applied.
+// report handles an agent's report and replies once it is applied.
 func (o *owner) report(ctx context.Context, c *connector.Conn, r messenger.WorkReport) (messenger.WorkReply, error) {
 	r, err := o.restore(c, r)
 	if err != nil {
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	read, facts, err := readReport(r)
+	parsed, facts, err := parseReport(r)
 	if err != nil {
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	e := reportMade{conn: c, gone: ctx.Done(), report: r, facts: facts, read: read, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, connDone: ctx.Done(), report: r, facts: facts, parsed: parsed, answer: make(chan messenger.WorkReply, 1)}
 	if err := o.send(ctx, e); err != nil {
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeNotOwner, "%v", err)
 	}
@@ -81,8 +81,7 @@
 	}
 }
 
-// restore returns the whole of an abridged report. The reports of a connection come one
-// after the other.
+// restore expands an abridged report. Reports of a connection arrive one at a time.
 func (o *owner) restore(c *connector.Conn, r messenger.WorkReport) (messenger.WorkReport, error) {
 	return o.restorerOf(c).Restore(r)
 }
@@ -104,42 +103,42 @@
 	return o.restorers[c]
 }
 
-func (e reportMade) apply(o *owner, now time.Time) {
+func (e reportReceived) apply(o *owner, now time.Time) {
 	s := o.sessions[e.report.VM]
-	if e.over() || s != nil && s.follows(e.report, now) {
-		e.answer <- messenger.WorkReply{} // overtaken by a later session
+	if e.connClosed() || s != nil && s.supersedes(e.report, now) {
+		e.answer <- messenger.WorkReply{} // superseded by a later session
 		return
 	}
-	reply := messenger.WorkReply{Epoch: o.epoch, GapMillis: o.reportGap().Milliseconds()}
+	reply := messenger.WorkReply{Epoch: o.epoch, GapMillis: o.reportInterval().Milliseconds()}
 	var changes accountant.Changes
 	if s == nil || s.conn != e.conn {
 		var vm *accountant.VM
-		vm, changes = o.state.Attach(e.facts, e.read, now)
+		vm, changes = o.state.Attach(e.facts, e.parsed, now)
 		s = s.next(vm, e)
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
 		o.sessions[vm.Name] = s
 		for _, r := range vm.UncertainRuns() {
 			o.orderStop(r, "its start may still be on its way")
 		}
-		reply.Needs, reply.Doubts = needsOf(vm), doubtsOf(vm, now)
+		reply.Needs, reply.Doubts = runNeeds(vm), unconfirmedStarts(vm, now)
 		o.dirty = true
 		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Life, "runs": len(vm.Runs), "ready": vm.Ready})
 	} else {
-		o.dirty = o.dirty || s.vm.Ready != e.read.Ready || !s.vm.Attached
+		o.dirty = o.dirty || s.vm.Ready != e.parsed.Ready || !s.vm.Attached
 		s.vm.Attached = true
 		if e.report.Facts != nil {
 			o.state.Describe(s.vm, e.facts)
 		}
-		changes = o.state.Apply(s.vm, e.read, now)
+		changes = o.state.Apply(s.vm, e.parsed, now)
 	}
 	o.dirty = o.dirty || s.granted != e.report.Granted
 	s.granted = e.report.Granted
-	delete(o.unheard, s.vm.Name)
-	o.note(s.vm, changes)
+	delete(o.unreported, s.vm.Name)
+	o.reportChanges(s.vm, changes)
 	planner.Learn(o.learner, s.vm, now)
 	o.dirty = o.dirty || changes.Any()
-	// A VM is granted nothing before the store has it as a member: the next owner
-	// must know whom to wait for.
+	// A VM gets no grant before it is stored as a member: the next owner must know which VMs to
+	// wait for.
 	switch {
 	case s.vm.Idle():
 		o.dropMember(s.vm.Name)
@@ -148,40 +147,41 @@
 	default:
 		o.joining[s.vm.Name] = true
 	}
-	if entries := o.s.peers.list(); !slices.Equal(entries, s.toldEntries) {
-		reply.Entries, s.toldEntries = entries, entries
+	if entries := o.s.peers.list(); !slices.Equal(entries, s.sentEntries) {
+		reply.Entries, s.sentEntries = entries, entries
 	}
-	reply.EndsStored, s.toldEnd = s.vm.EndStored, s.vm.EndStored
+	reply.EndsStored, s.sentEndStored = s.vm.EndStored, s.vm.EndStored
 	e.answer <- reply
 }
 
-// endedKept is how many processes of an agent before its present one are remembered.
-const endedKept = 8
+// maxEndedProcesses is how many earlier processes of an agent are remembered.
+const maxEndedProcesses = 8
 
-// over tells whether the connection has ended on which the report came. What the process
-// behind it told may be long past, and it hears no answer.
-func (e reportMade) over() bool {
+// connClosed reports whether the connection of the report has ended. Such a report may be
+// outdated, and its sender gets no answer.
+func (e reportReceived) connClosed() bool {
 	select {
-	case <-e.gone:
+	case <-e.connDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// follows tells whether a report is of a session before this one. Numbers of sessions rise
-// within a process of the agent only: it takes the first from its clock, and the time of
-// day may jump back before the next process begins. A process that was replaced is heard
-// again once nothing more comes of the other, which may itself be the one that has ended.
-func (s *session) follows(r messenger.WorkReport, now time.Time) bool {
+// supersedes reports whether s is later than the session of a report. Session numbers rise only
+// within one process of the agent: a process takes its first number from the clock, and the
+// time of day may jump back before the next process starts. Reports of a replaced process are
+// accepted again once the current one has stopped reporting, since the current one may be the
+// process that has ended.
+func (s *session) supersedes(r messenger.WorkReport, now time.Time) bool {
 	if r.Process == s.process {
 		return r.Session < s.number
 	}
-	return slices.Contains(s.ended, r.Process) && now.Sub(s.vm.GrantedAt) <= silence
+	return slices.Contains(s.ended, r.Process) && now.Sub(s.vm.GrantedAt) <= reportTimeout
 }
 
-// next returns the session that a report opens after s, which may be nil.
-func (s *session) next(vm *accountant.VM, e reportMade) *session {
+// next returns the session that a report opens after s. s may be nil.
+func (s *session) next(vm *accountant.VM, e reportReceived) *session {
 	n := &session{vm: vm, number: e.report.Session, process: e.report.Process, conn: e.conn}
 	if s == nil {
 		return n
@@ -190,30 +190,30 @@
 	if s.process != n.process {
 		n.ended = append(n.ended, s.process)
 	}
-	if over := len(n.ended) - endedKept; over > 0 {
-		n.ended = n.ended[over:]
+	if excess := len(n.ended) - maxEndedProcesses; excess > 0 {
+		n.ended = n.ended[excess:]
 	}
 	return n
 }
 
-// Limits of the gap between an agent's reports. An owner on a small entry VM that reads
-// each agent's news as it comes does nothing else, and urgent tasks wait for seconds for a
-// start that takes a millisecond to decide. The gap allows all agents together a thousand
-// reports a second at most; most agents have less to tell.
+// Limits of the interval between an agent's reports. With an unlimited rate, an owner on a
+// small entry VM did nothing but read reports, and urgent tasks waited seconds for a start that
+// takes a millisecond to decide. The interval limits all agents together to a thousand reports
+// a second; most agents have fewer changes to report.
 const (
-	gapPerVM    = time.Millisecond
-	shortestGap = 20 * time.Millisecond
-	longestGap  = 250 * time.Millisecond
+	reportIntervalPerVM = time.Millisecond
+	minReportInterval   = 20 * time.Millisecond
+	maxReportInterval   = 250 * time.Millisecond
 )
 
-// reportGap is the time between reports that agents are asked for.
-func (o *owner) reportGap() time.Duration {
-	return min(max(time.Duration(len(o.sessions))*gapPerVM, shortestGap), longestGap)
+// reportInterval returns the interval between reports that is requested from agents.
+func (o *owner) reportInterval() time.Duration {
+	return min(max(time.Duration(len(o.sessions))*reportIntervalPerVM, minReportInterval), maxReportInterval)
 }
 
-// dropMember takes a VM out of the members at once: one that takes nothing and runs
-// nothing is waited for by no later owner. Without this a VM that had left in order
-// held all inherited jobs up for as long as its leases could have lasted (7 s).
+// dropMember removes an idle VM from the members at once, so that no later owner waits for it.
+// Without this, a VM that had left cleanly delayed all inherited jobs for as long as its leases
+// could have lasted (7 s).
 func (o *owner) dropMember(vm string) {
 	if o.listed[vm] {
 		o.leaving[vm] = true
@@ -222,8 +222,8 @@
 	delete(o.joining, vm)
 }
 
-// note writes down what a report changed.
-func (o *owner) note(vm *accountant.VM, c accountant.Changes) {
+// reportChanges logs and counts the changes of a report.
+func (o *owner) reportChanges(vm *accountant.VM, c accountant.Changes) {
 	for _, e := range c.Ended {
 		o.s.config.Meters.runEnded(e.How)
 		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.How), "end": e.Seq})
@@ -234,7 +234,8 @@
 	}
 }
 
-func needsOf(vm *accountant.VM) []messenger.WorkRun {
+// runNeeds lists the committed resources of the VM's runs.
+func runNeeds(vm *accountant.VM) []messenger.WorkRun {
 	var all []messenger.WorkRun
 	for key, r := range vm.Runs {
 		needs := r.Step().Spec.Committed()
@@ -243,8 +244,8 @@
 	return all
 }
 
-// doubtsOf lists what the VM's agent has to know of its earlier processes.
-func doubtsOf(vm *accountant.VM, now time.Time) []messenger.WorkDoubt {
+// unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
+func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkDoubt {
 	var all []messenger.WorkDoubt
 	for _, d := range vm.Inherited(now) {
 		all = append(all, messenger.WorkDoubt{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
@@ -252,7 +253,7 @@
 	return all
 }
 
-func readReport(r messenger.WorkReport) (accountant.Report, accountant.Facts, error) {
+func parseReport(r messenger.WorkReport) (accountant.Report, accountant.Facts, error) {
 	rep := accountant.Report{Life: r.Life, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
 	for _, w := range r.Runs {
 		id, err := specifier.ParseTaskID(w.Task)
@@ -294,7 +295,7 @@
 		Seq: r.Order, Kind: messenger.WorkStart, Task: r.Key().Task.String(), Run: r.Number,
 		Payload: r.Step().Occurrence.Job.Spec.Payload, Checkpoint: r.Checkpoint, Ticket: start.Ticket, Needs: spec.Committed(),
 	})
-	o.s.config.Meters.started(r, now)
+	o.s.config.Meters.runStarted(r, now)
 	o.s.config.Reporter.Report(reporter.JobStartDecided, reporter.Fields{
 		"task": r.Key().Task.String(), "run": r.Number, "vm": start.VM.Name, "waited": now.Sub(start.Task.WaitSince).String(),
 		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.FillCPU, "lasting": start.VM.Lasting,
@@ -302,8 +303,8 @@
 	})
 }
 
-// orderStop tells whether the stop is ordered: a VM that is not attached gets no orders, and
-// its runs are seen again when its agent is back.
+// orderStop reports whether the stop was ordered. A detached VM gets no orders; its runs are
+// checked again when its agent is back.
 func (o *owner) orderStop(r *accountant.Run, cause string) bool {
 	s := o.sessions[r.VM.Name]
 	if s == nil || !r.VM.Attached {
@@ -326,22 +327,22 @@
 	o.s.config.Reporter.Report(reporter.JobPaceDecided, reporter.Fields{"task": p.Run.Key().Task.String(), "run": p.Run.Number, "vm": p.Run.VM.Name, "percent": p.Percent})
 }
 
-// sendOrders hands the queued orders and what the store has of ends to each agent.
+// sendOrders sends each agent its queued orders and the number of its last stored end.
 func (o *owner) sendOrders() {
 	for name, s := range o.sessions {
-		if s.vm.EndStored <= s.toldEnd && len(s.queued) == 0 {
+		if s.vm.EndStored <= s.sentEndStored && len(s.queued) == 0 {
 			continue
 		}
 		if o.state.VMs[name].Life == "" {
 			continue
 		}
 		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Life: s.vm.Life, EndsStored: s.vm.EndStored, Orders: s.queued}
-		s.toldEnd, s.queued = s.vm.EndStored, nil
+		s.sentEndStored, s.queued = s.vm.EndStored, nil
 		s.post(m)
 	}
 }
 
-// post sends in order: one call at a time, since calls on a connection may
+// post sends messages in order. Only one call is in flight, since calls on a connection may
 // overtake each other.
 func (s *session) post(m messenger.WorkOrders) {
 	s.mu.Lock()
@@ -363,7 +364,7 @@
 			return
 		}
 		m := s.outbox[0]
-		for _, next := range s.outbox[1:] { // one call for all that waits
+		for _, next := range s.outbox[1:] { // one call for all queued messages
 			if next.Life != m.Life {
 				break
 			}
@@ -372,12 +373,12 @@
 		}
 		s.outbox = s.outbox[1:]
 		s.mu.Unlock()
-		ctx, cancel := context.WithTimeout(context.Background(), ordersLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), ordersTimeout)
 		err := s.conn.Call(ctx, messenger.MethodWorkOrders, m, nil)
 		cancel()
 		if err != nil {
 			s.reporter.Report(reporter.OrdersNotTaken, reporter.Fields{"vm": s.vm.Name, "session": s.number, "epoch": s.epoch, "orders": len(m.Orders), "error": err.Error()})
-			s.conn.Close() // the agent opens another session, in which it tells what it has
+			s.conn.Close() // the agent opens another session and reports its state in it
 			return
 		}
 	}
--- a/internal/job/scheduler/session_test.go
+++ b/internal/job/scheduler/session_test.go
@@ -13,11 +13,10 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// The first task of a new VM is refused there and started again. The owner orders a
-// start as soon as it has answered the report that grants; the order overtakes the
-// answer, and the agent has no lease to start anything under. So the owner waits
-// until the agent itself tells that it holds a grant.
-func TestNothingStartsBeforeTheAgentTellsOfAGrant(t *testing.T) {
+// Guards against a refused first task on a new VM: the owner orders a start directly after the
+// reply with the grant, the order overtakes the reply, and the agent has no lease to start
+// anything under. So the owner waits until the agent itself reports the grant.
+func TestNoStartBeforeAgentReportsGrant(t *testing.T) {
 	now := time.Now()
 	policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 	s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }})
@@ -33,28 +32,27 @@
 			VM: "vm-1", Session: 1, Life: "1", Ready: true, Granted: tt.granted,
 			Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		}
-		read, facts, err := readReport(r)
+		parsed, facts, err := parseReport(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := reportMade{report: r, read: read, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+		e := reportReceived{report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
 		e.apply(o, now)
 		if a := <-e.answer; a.GrantMillis == 0 {
-			t.Error("a member is granted nothing")
+			t.Error("a member got no grant")
 		}
-		o.startWaiting(now)
+		o.startWaitingTasks(now)
 		if got := len(o.sessions["vm-1"].queued); got != tt.orders {
-			t.Errorf("%d orders to an agent that tells granted: %t", got, tt.granted)
+			t.Errorf("%d orders to an agent that reports granted: %t", got, tt.granted)
 		}
 	}
 }
 
-// Callers' jobs stand still for seven seconds after a change of owner. A VM had left in
-// order before it; the next owner knows it as a member, hears nothing of it, and waits
-// until what might run there has surely ended. So a VM that takes nothing and runs
-// nothing is no member any more, and one that comes back gets no order before the store
-// has it as one again.
-func TestIdleVMIsNoMember(t *testing.T) {
+// Guards against jobs that stall for seven seconds after a change of owner: a VM had left
+// cleanly before it, and the next owner knows it as a member and waits until its runs have
+// certainly ended. So an idle VM is removed from the members, and one that returns gets no
+// orders before it is stored as a member again.
+func TestIdleVMRemovedFromMembers(t *testing.T) {
 	now := time.Now()
 	policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 	stored := ""
@@ -68,15 +66,15 @@
 	state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: specifier.Resources{CPUMillis: 600}}}}, time.Time{}, now)
 	report := func(ready bool) int64 {
 		t.Helper()
-		read, facts, err := readReport(messenger.WorkReport{
+		parsed, facts, err := parseReport(messenger.WorkReport{
 			VM: "vm-1", Session: 1, Life: "1", Ready: ready, Granted: true, Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := reportMade{report: messenger.WorkReport{VM: "vm-1", Session: 1, Granted: true}, read: read, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+		e := reportReceived{report: messenger.WorkReport{VM: "vm-1", Session: 1, Granted: true}, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
 		e.apply(o, now)
-		o.startWaiting(now)
+		o.startWaitingTasks(now)
 		return (<-e.answer).GrantMillis
 	}
 	store := func() {
@@ -84,10 +82,10 @@
 		(<-o.events).apply(o, now)
 	}
 	if grant := report(false); grant != 0 || len(o.joining) != 0 {
-		t.Fatal("a VM that takes nothing joins")
+		t.Fatal("a VM that is not ready joins")
 	}
 	if grant := report(true); grant != 0 || len(o.sessions["vm-1"].queued) != 0 {
-		t.Fatal("granted or ordered before it is a member")
+		t.Fatal("grant or order before the VM is a member")
 	}
 	store()
 	if stored != `["vm-1"]` {
@@ -99,29 +97,29 @@
 		t.Errorf("members %s after it became idle", stored)
 	}
 	if report(true); len(o.sessions["vm-1"].queued) != 0 {
-		t.Error("ordered to start before it is a member again")
+		t.Error("start ordered before the VM is a member again")
 	}
 	store()
 	if grant := report(true); grant == 0 || len(o.sessions["vm-1"].queued) != 1 {
-		t.Errorf("grant %d ms, %d orders once it is a member again", grant, len(o.sessions["vm-1"].queued))
+		t.Errorf("grant %d ms, %d orders once the VM is a member again", grant, len(o.sessions["vm-1"].queued))
 	}
 }
 
-// Guards against a VM that is lost until the owner changes: the time of day jumps back
-// between two lives of its agent's process, whose sessions then have lower numbers.
-func TestSessionsOfARestartedAgent(t *testing.T) {
+// Guards against a VM that is lost until the next change of owner: the time of day jumps back
+// between two processes of its agent, so the later sessions have lower numbers.
+func TestSessionsOfRestartedAgent(t *testing.T) {
 	type opened struct {
 		process, session int64
-		taken            bool
+		accepted         bool
 	}
 	tests := []struct {
 		name string
 		open []opened
 	}{
-		{"one process, one session after the other", []opened{{1, 10, true}, {1, 11, true}}},
-		{"a report of the session before comes late", []opened{{1, 11, true}, {1, 10, false}}},
-		{"a process begins below the one before", []opened{{1, 5000, true}, {2, 1000, true}, {2, 1001, true}}},
-		{"a report of the process before comes late", []opened{{1, 1000, true}, {2, 5000, true}, {1, 1001, false}, {1, 6000, false}}},
+		{"one process with consecutive sessions", []opened{{1, 10, true}, {1, 11, true}}},
+		{"late report of the previous session", []opened{{1, 11, true}, {1, 10, false}}},
+		{"new process with lower session numbers", []opened{{1, 5000, true}, {2, 1000, true}, {2, 1001, true}}},
+		{"late report of the previous process", []opened{{1, 1000, true}, {2, 5000, true}, {1, 1001, false}, {1, 6000, false}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -131,65 +129,65 @@
 			o := newOwner(s, 1, accountant.New(accountant.Config{Policy: policy}), now)
 			for i, session := range tt.open {
 				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Life: "1", Ready: true, Facts: &messenger.WorkFacts{}}
-				read, facts, err := readReport(r)
+				parsed, facts, err := parseReport(r)
 				if err != nil {
 					t.Fatal(err)
 				}
-				e := reportMade{conn: new(connector.Conn), report: r, read: read, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+				e := reportReceived{conn: new(connector.Conn), report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
 				e.apply(o, now)
-				if got := (<-e.answer).Epoch != 0; got != session.taken {
-					t.Errorf("session %d is taken: %t, want %t", i, got, session.taken)
+				if got := (<-e.answer).Epoch != 0; got != session.accepted {
+					t.Errorf("session %d is accepted: %t, want %t", i, got, session.accepted)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a VM that is lost until the owner changes: the first report of an agent's
-// process that has ended is read after those of the process that runs.
-func TestALateReportOfAnEndedProcessDoesNotShutOutThePresentOne(t *testing.T) {
+// Guards against a VM that is lost until the next change of owner: the first report of an
+// agent's ended process is read after those of the running one.
+func TestLateReportOfEndedProcess(t *testing.T) {
 	ended := make(chan struct{})
 	close(ended)
 	open := make(chan struct{})
 	tests := []struct {
 		name     string
-		gone     chan struct{} // ends with the connection of the late report
-		late     bool          // the late report is taken
-		after    time.Duration // between it and the next session of the process that runs
-		accepted bool          // that session
+		connDone chan struct{} // closed with the connection of the late report
+		late     bool          // the late report is accepted
+		after    time.Duration // between it and the next session of the running process
+		accepted bool          // the next session of the running process is accepted
 	}{
 		{"its connection has ended", ended, false, 0, true},
-		{"its connection looks open", open, true, 0, false},
-		{"its connection looks open and nothing more comes", open, true, silence + time.Millisecond, true},
+		{"its connection seems open", open, true, 0, false},
+		{"its connection seems open and no more reports arrive", open, true, reportTimeout + time.Millisecond, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newStopBed(t)
+			b := newStopFixture(t)
 			b.report.Process, b.report.Session = 2000, 2001
-			if !b.tell(new(connector.Conn), nil) {
-				t.Fatal("the process that runs is refused")
+			if !b.sendReportOn(new(connector.Conn), nil) {
+				t.Fatal("the running process is refused")
 			}
 			b.report.Process, b.report.Session = 1000, 1001
-			if got := b.tell(new(connector.Conn), tt.gone); got != tt.late {
-				t.Fatalf("the late report is taken: %t", got)
+			if got := b.sendReportOn(new(connector.Conn), tt.connDone); got != tt.late {
+				t.Fatalf("the late report is accepted: %t", got)
 			}
 			b.now = b.now.Add(tt.after)
 			b.report.Process, b.report.Session = 2000, 2002
-			if got := b.tell(new(connector.Conn), nil); got != tt.accepted {
-				t.Errorf("the process that runs is taken: %t, want %t", got, tt.accepted)
+			if got := b.sendReportOn(new(connector.Conn), nil); got != tt.accepted {
+				t.Errorf("the running process is accepted: %t, want %t", got, tt.accepted)
 			}
 		})
 	}
 }
 
-// Guards against an owner that remembers each process that an agent ever had.
-func TestOnlyTheLatestProcessesOfAnAgentAreRemembered(t *testing.T) {
-	const processes = 3 * endedKept
+// Guards against unbounded growth of the list of an agent's earlier processes.
+func TestEndedProcessesBounded(t *testing.T) {
+	const processes = 3 * maxEndedProcesses
 	var s *session
 	for p := range int64(processes) {
-		s = s.next(&accountant.VM{}, reportMade{report: messenger.WorkReport{Process: p + 1, Session: 1}})
+		s = s.next(&accountant.VM{}, reportReceived{report: messenger.WorkReport{Process: p + 1, Session: 1}})
 	}
-	if len(s.ended) != endedKept || s.ended[endedKept-1] != processes-1 {
-		t.Errorf("%v are remembered", s.ended)
+	if len(s.ended) != maxEndedProcesses || s.ended[maxEndedProcesses-1] != processes-1 {
+		t.Errorf("remembered processes: %v", s.ended)
 	}
 }
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -18,8 +18,8 @@
 
 const stoppedJob = "00000000000004d2"
 
-// stopBed is an owner of one lasting task that runs on one VM, with its log.
-type stopBed struct {
+// stopFixture is an owner with one long-running task that runs on one VM, and its log.
+type stopFixture struct {
 	t      *testing.T
 	o      *owner
 	log    *bytes.Buffer
@@ -27,9 +27,9 @@
 	report messenger.WorkReport
 }
 
-func newStopBed(t *testing.T) *stopBed {
+func newStopFixture(t *testing.T) *stopFixture {
 	t.Helper()
-	b := &stopBed{t: t, log: &bytes.Buffer{}, now: time.Unix(1_000_000, 0)}
+	b := &stopFixture{t: t, log: &bytes.Buffer{}, now: time.Unix(1_000_000, 0)}
 	r, err := reporter.New(reporter.Config{Writer: b.log, Format: "text", Level: "info"})
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	s := New(Config{Cell: "jobs", Reporter: r, Now: func() time.Time { return b.now }, Policy: func() *specifier.Policy { return policy }})
 	state := accountant.New(accountant.Config{Policy: policy})
 	b.o = newOwner(s, 2, state, b.now)
-	b.o.settled = true
+	b.o.reconciled = true
 	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, Lasting: true}}}, time.Time{}, b.now)
 	b.report = messenger.WorkReport{
 		VM: "vm-1", Session: 1, Process: 1, Life: "1", Ready: true, Granted: true,
@@ -48,81 +48,81 @@
 	return b
 }
 
-// hear applies the agent's report.
-func (b *stopBed) hear() {
+// sendReport applies the agent's report.
+func (b *stopFixture) sendReport() {
 	b.t.Helper()
-	b.tell(nil, nil)
+	b.sendReportOn(nil, nil)
 }
 
-// tell applies the agent's report, read from a connection with which gone ends, and tells
-// whether it was taken.
-func (b *stopBed) tell(c *connector.Conn, gone chan struct{}) bool {
+// sendReportOn applies the agent's report as read from a connection that closes connDone, and
+// reports whether it was accepted.
+func (b *stopFixture) sendReportOn(c *connector.Conn, connDone chan struct{}) bool {
 	b.t.Helper()
-	read, facts, err := readReport(b.report)
+	parsed, facts, err := parseReport(b.report)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	e := reportMade{conn: c, gone: gone, report: b.report, read: read, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, connDone: connDone, report: b.report, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
 	e.apply(b.o, b.now)
 	return (<-e.answer).Epoch != 0
 }
 
-// survey lets so much time pass and returns the orders of a survey.
-func (b *stopBed) survey(d time.Duration) []messenger.WorkOrder {
+// runChecks advances the time and returns the orders of the periodic checks.
+func (b *stopFixture) runChecks(d time.Duration) []messenger.WorkOrder {
 	b.now = b.now.Add(d)
-	b.o.survey(b.t.Context(), b.now)
+	b.o.runChecks(b.t.Context(), b.now)
 	s := b.o.sessions["vm-1"]
 	orders := s.queued
 	s.queued = nil
 	return orders
 }
 
-func (b *stopBed) cancel(by string) {
-	recordSeen{keeper.Record{Key: CancelKey(stoppedJob), Revision: 7}, by}.apply(b.o, b.now)
+func (b *stopFixture) cancel(source string) {
+	recordSeen{keeper.Record{Key: CancelKey(stoppedJob), Revision: 7}, source}.apply(b.o, b.now)
 }
 
-// Guards against a cancelled job whose tasks run on without a line in the owner's log.
-func TestStopsWithoutEffectAreTold(t *testing.T) {
-	b := newStopBed(t)
-	b.hear()
-	b.cancel(seenByHint)
-	b.cancel(seenByWatch)
+// Guards against a cancelled job whose tasks continue without a line in the owner's log.
+func TestOverdueStopReportedOnce(t *testing.T) {
+	b := newStopFixture(t)
+	b.sendReport()
+	b.cancel(sourceHint)
+	b.cancel(sourceWatch)
 	if got := strings.Count(b.log.String(), "cancellation taken in"); got != 1 || !strings.Contains(b.log.String(), "by=hint") {
-		t.Errorf("the cancellation is told %d times: %s", got, b.log)
+		t.Errorf("the cancellation is logged %d times: %s", got, b.log)
 	}
-	b.survey(0)
-	b.hear()
-	b.survey(stopOverdue - time.Millisecond)
+	b.runChecks(0)
+	b.sendReport()
+	b.runChecks(stopOverdueAfter - time.Millisecond)
 	if strings.Contains(b.log.String(), "stop overdue") {
-		t.Error("told as overdue too early")
+		t.Error("logged as overdue too early")
 	}
-	b.hear()
-	b.survey(time.Millisecond)
-	b.survey(time.Second)
+	b.sendReport()
+	b.runChecks(time.Millisecond)
+	b.runChecks(time.Second)
 	if got := strings.Count(b.log.String(), "stop overdue"); got != 1 {
-		t.Errorf("told as overdue %d times: %s", got, b.log)
+		t.Errorf("logged as overdue %d times: %s", got, b.log)
 	}
 }
 
-// Guards against operators who can't see that stops are not carried out.
-func TestTheGaugeTellsHowManyStopsAreOverdue(t *testing.T) {
-	b := newStopBed(t)
+// Guards against overdue stops that operators cannot see.
+func TestOverdueStopsGauge(t *testing.T) {
+	b := newStopFixture(t)
 	set := metrics.NewSet()
 	b.o.s.config.Meters = NewMeters(set)
 	gauge := func() float64 { return set.GetOrCreateGauge("bamboospread_job_stops_overdue", nil).Get() }
-	b.hear()
-	b.cancel(seenByHint)
-	b.survey(0)
-	b.hear()
-	b.survey(stopOverdue)
+	b.sendReport()
+	b.cancel(sourceHint)
+	b.runChecks(0)
+	b.sendReport()
+	b.runChecks(stopOverdueAfter)
 	if got := gauge(); got != 1 {
 		t.Errorf("%v stops are overdue, want 1", got)
 	}
 	b.report.Runs = nil
 	b.report.OrdersSeen = 10
-	b.hear()
-	b.survey(surveyGap)
+	b.sendReport()
+	b.runChecks(minCheckInterval)
 	if got := gauge(); got != 0 {
-		t.Errorf("%v stops are overdue once the run is gone", got)
+		t.Errorf("%v stops are overdue after the run has ended", got)
 	}
 }
--- a/internal/job/scheduler/takeover.go
+++ b/internal/job/scheduler/takeover.go
@@ -12,15 +12,15 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// runsPerEpoch is above the number of runs that a task gets under one owner: even
-// one that fails at once and for good waits a second between runs.
+// runsPerEpoch exceeds the number of runs that a task can have under one owner: a task that
+// always fails at once still waits a second between runs.
 const runsPerEpoch = 1000
 
-// listWait is what a page of all jobs may take beyond a usual call: a megabyte in base64
-// takes over a second on a link of 10 Mbit/s that others use too.
-const listWait = 4 * time.Second
+// listExtraWait is how much longer a page of all jobs may take than a usual call. A megabyte in
+// base64 takes over a second on a shared 10 Mbit/s link.
+const listExtraWait = 4 * time.Second
 
-// takeOver reads everything that the store has about the cell.
+// takeOver loads the cell's state from the store.
 func (s *Scheduler) takeOver(ctx context.Context, epoch int64) (*owner, error) {
 	now := s.config.Now()
 	state := accountant.New(accountant.Config{RunFloor: (epoch - 1) * runsPerEpoch, Policy: s.config.Policy()})
@@ -33,14 +33,14 @@
 	if err != nil {
 		return nil, err
 	}
-	o.followFrom = revision
+	o.watchFrom = revision
 	for _, r := range work {
 		if strings.HasPrefix(r.Key, jobPrefix) {
-			o.takeJob(r, now.Add(s.config.Lease+o.leaseOver()), now)
+			o.addJob(r, now.Add(s.config.Lease+o.leaseExpiry()), now)
 		}
 	}
 	for _, r := range progress {
-		o.writer.saw(r.Key, r.Revision)
+		o.writer.setRevision(r.Key, r.Revision)
 		id := strings.TrimPrefix(r.Key, progressPrefix)
 		if err := state.Restore(id, r.Value, now); err != nil {
 			s.config.Reporter.Report(reporter.JobRecordsUnreadable, reporter.Fields{"key": r.Key, "error": err.Error()})
@@ -48,22 +48,22 @@
 	}
 	for _, r := range work {
 		if id, ok := strings.CutPrefix(r.Key, cancelPrefix); ok {
-			o.takeCancellation(id, recordSeen{r, seenByTakeover}, now)
+			o.addCancellation(id, recordSeen{r, sourceTakeover}, now)
 		}
 	}
 	if err := o.loadMembers(ctx); err != nil {
 		return nil, err
 	}
-	o.loadLessons(ctx)
+	o.loadLearned(ctx)
 	return o, nil
 }
 
-// findAll lists all records below a prefix and the revision from which to follow
-// them: that of the first page, so that a change during the listing is seen again.
+// findAll lists all records below a prefix. It returns the revision of the first page as the
+// one to watch from, so that changes during the listing are seen again.
 func (s *Scheduler) findAll(ctx context.Context, prefix string) (all []keeper.Record, revision int64, err error) {
 	after := ""
 	for {
-		page, err := s.config.Store.FindRecords(ctx, keeper.ListOptions{Prefix: prefix, After: after, Wait: listWait})
+		page, err := s.config.Store.FindRecords(ctx, keeper.ListOptions{Prefix: prefix, After: after, Wait: listExtraWait})
 		if err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
@@ -78,22 +78,22 @@
 	}
 }
 
-// takeJob takes an accepted job in and tells whether it is new.
-func (o *owner) takeJob(r keeper.Record, settlesAt, now time.Time) bool {
+// addJob adds an accepted job and reports whether it is new.
+func (o *owner) addJob(r keeper.Record, reconcileAt, now time.Time) bool {
 	spec, err := accountant.DecodeJob(r.Value)
 	if err != nil || JobKey(spec.ID) != r.Key {
 		o.s.config.Reporter.Report(reporter.JobRecordsUnreadable, reporter.Fields{"key": r.Key, "error": fmt.Sprint(err)})
 		return false
 	}
-	if !o.state.AddJob(spec, settlesAt, now) {
+	if !o.state.AddJob(spec, reconcileAt, now) {
 		return false
 	}
-	o.writer.saw(r.Key, r.Revision)
+	o.writer.setRevision(r.Key, r.Revision)
 	o.s.config.Reporter.Report(reporter.JobLoaded, reporter.Fields{"job": spec.ID, "queue": spec.Queue, "steps": len(spec.Steps), "revision": r.Revision})
 	return true
 }
 
-// membersKey is the key of the list of VMs whose agents may have had a grant of an
+// membersKey returns the key of the list of VMs whose agents may have been granted leases by an
 // owner of this cell.
 func (s *Scheduler) membersKey() string { return fmt.Sprintf("cells/%s/vms", s.config.Cell) }
 
@@ -105,14 +105,14 @@
 	if err != nil {
 		return fmt.Errorf("read members: %w", err)
 	}
-	o.writer.saw(record.Key, record.Revision)
+	o.writer.setRevision(record.Key, record.Revision)
 	var names []string
 	if err := json.Unmarshal(record.Value, &names); err != nil {
 		return fmt.Errorf("decode members: %w", err)
 	}
 	for _, n := range names {
 		o.members[n], o.listed[n] = true, true
-		o.unheard[n] = true
+		o.unreported[n] = true
 	}
 	return nil
 }
--- a/internal/job/scheduler/waits.go
+++ b/internal/job/scheduler/waits.go
@@ -10,32 +10,32 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// Limits of the lines on steps that wait.
+// Limits of log lines on waiting steps.
 const (
-	waitToldAfter = time.Second     // a step has waited before it is told
-	waitToldEvery = 2 * time.Second // for the same step
-	waitRound     = 500 * time.Millisecond
-	waitsPerRound = 3 // the longest waits; a backlog of hundreds tells the same cause
+	waitReportAfter    = time.Second     // minimum wait of a step before it is logged
+	waitReportInterval = 2 * time.Second // between lines on the same step
+	waitCheckInterval  = 500 * time.Millisecond
+	waitsPerCheck      = 3 // the longest waits; the causes in a backlog of hundreds are the same
 )
 
-// tellWaits logs why steps wait. Between "taken in" and "start decided" nothing else
-// tells a caller's operator the cause of a late job.
-func (o *owner) tellWaits(now time.Time) {
-	if now.Sub(o.waitsAt) < waitRound {
+// reportWaits logs why steps wait. No other event between "taken in" and "start decided" shows
+// why a job is late.
+func (o *owner) reportWaits(now time.Time) {
+	if now.Sub(o.waitsCheckedAt) < waitCheckInterval {
 		return
 	}
-	o.waitsAt = now
+	o.waitsCheckedAt = now
 	steps := slices.DeleteFunc(o.state.WaitingSteps(now), func(s *accountant.Step) bool {
-		return now.Sub(s.ReadyAt) < waitToldAfter || now.Sub(o.waitTold[s.Name()]) < waitToldEvery
+		return now.Sub(s.ReadyAt) < waitReportAfter || now.Sub(o.waitReportedAt[s.Name()]) < waitReportInterval
 	})
 	slices.SortStableFunc(steps, func(a, b *accountant.Step) int { return cmp.Compare(a.ReadyAt.UnixNano(), b.ReadyAt.UnixNano()) })
-	for name, at := range o.waitTold {
-		if now.Sub(at) > 2*waitToldEvery {
-			delete(o.waitTold, name)
+	for name, at := range o.waitReportedAt {
+		if now.Sub(at) > 2*waitReportInterval {
+			delete(o.waitReportedAt, name)
 		}
 	}
-	for _, s := range steps[:min(len(steps), waitsPerRound)] {
-		o.waitTold[s.Name()] = now
+	for _, s := range steps[:min(len(steps), waitsPerCheck)] {
+		o.waitReportedAt[s.Name()] = now
 		o.s.config.Reporter.Report(reporter.JobStepWaits, reporter.Fields{
 			"job": s.Occurrence.Job.Spec.ID, "step": s.Number, "occurrence": s.Occurrence.Number, "waited": now.Sub(s.ReadyAt).String(),
 			"waiting": len(steps), "cause": planner.Explain(o.input(now), s), "policy": o.state.Policy().Version,
--- a/internal/job/scheduler/writer_test.go
+++ b/internal/job/scheduler/writer_test.go
@@ -9,16 +9,16 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// lateStore is a store that can lose the answer of a write and carry it out later.
+// lateStore is a store that can lose the answer of a write and apply it later.
 type lateStore struct {
-	revision int64
-	records  map[string]keeper.Record
-	lose     bool
-	late     []keeper.Transaction
+	revision    int64
+	records     map[string]keeper.Record
+	loseAnswers bool
+	late        []keeper.Transaction
 }
 
 func (s *lateStore) transact(_ context.Context, t keeper.Transaction) (int64, error) {
-	if s.lose {
+	if s.loseAnswers {
 		s.late = append(s.late, t)
 		return 0, keeper.ErrOutcomeUnknown{Cause: errors.New("no answer")}
 	}
@@ -39,9 +39,9 @@
 	return s.revision, nil
 }
 
-func (s *lateStore) carryOutLate() {
+func (s *lateStore) applyLate() {
 	for _, t := range s.late {
-		_, _ = s.apply(t) // a condition that does not hold any more is what is hoped for
+		_, _ = s.apply(t) // a failed expectation is the desired result
 	}
 	s.late = nil
 }
@@ -58,16 +58,16 @@
 	return w.put(t.Context(), []keeper.Put{{Key: "progress/a", Value: []byte(value)}, {Key: "progress/b", Value: []byte(value)}})
 }
 
-// A task that was done and acknowledged runs again under the next owner. A write of
-// its job's progress gets no answer; a newer one is stored and the end
-// acknowledged; then the first is carried out and takes the record back.
-func TestLateWriteDoesNotTakeProgressBack(t *testing.T) {
+// Guards against a second run of a done and acknowledged task under the next owner: a write of
+// its job's progress gets no answer, a newer one is stored and the end acknowledged, and then
+// the first takes effect and reverts the record.
+func TestLateWriteDoesNotRevertProgress(t *testing.T) {
 	tests := []struct {
 		name string
-		when func(s *lateStore, w *writer) // between the lost write and the newer one, and after
+		when func(s *lateStore, w *writer) // runs between the lost write and the newer one
 	}{
-		{"carried out after the newer one", func(*lateStore, *writer) {}},
-		{"carried out before the newer one", func(s *lateStore, _ *writer) { s.carryOutLate() }},
+		{"applied after the newer one", func(*lateStore, *writer) {}},
+		{"applied before the newer one", func(s *lateStore, _ *writer) { s.applyLate() }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -75,16 +75,16 @@
 			if err := put(t, w, "first"); err != nil {
 				t.Fatal(err)
 			}
-			s.lose = true
+			s.loseAnswers = true
 			if err := put(t, w, "older"); !keeper.IsErrOutcomeUnknown(err) {
 				t.Fatalf("got %v", err)
 			}
-			s.lose = false
+			s.loseAnswers = false
 			tt.when(s, w)
 			if err := put(t, w, "newer"); err != nil {
 				t.Fatal(err)
 			}
-			s.carryOutLate()
+			s.applyLate()
 			if got := string(s.records["progress/a"].Value); got != "newer" {
 				t.Errorf("the record holds %q", got)
 			}
@@ -92,23 +92,23 @@
 	}
 }
 
-func TestWriterStopsAtItsFence(t *testing.T) {
+func TestWriterRejectedByFence(t *testing.T) {
 	s, w := newLateStore()
 	s.records["owner"] = keeper.Record{Key: "owner", Revision: 9}
 	if err := put(t, w, "x"); !keeper.IsErrConflict(err) {
 		t.Errorf("got %v", err)
 	}
 	if len(s.records) != 1 {
-		t.Error("an owner that was replaced wrote")
+		t.Error("a replaced owner wrote")
 	}
 }
 
-// Guards against jobs that never end: each write of many records meets one conflict after
-// the other, where the store tells one at a time, and gives up before it has learned all.
-func TestWriteOfManyRecordsThatAllChanged(t *testing.T) {
+// Guards against jobs that never end: the store reports one conflict at a time, and a write of
+// many records gives up before it has updated all revisions.
+func TestWriteResolvesConflictOfEveryRecord(t *testing.T) {
 	s, w := newLateStore()
 	var puts []keeper.Put
-	for i := range flushPuts {
+	for i := range maxPutsPerTransaction {
 		key := fmt.Sprintf("progress/%d", i)
 		puts = append(puts, keeper.Put{Key: key, Value: []byte("new")})
 		s.records[key] = keeper.Record{Key: key, Revision: int64(100 + i)}
@@ -118,9 +118,9 @@
 	}
 }
 
-// Guards against an owner that was replaced and tries on, where the store tells only which
-// record is not as expected.
-func TestWriteOfAnOwnerThatWasReplaced(t *testing.T) {
+// Guards against a replaced owner that repeats its write, where the store reports only a record
+// other than the fence as the conflict.
+func TestReplacedOwnerDoesNotRetryWrite(t *testing.T) {
 	s, w := newLateStore()
 	s.records["owner"] = keeper.Record{Key: "owner", Revision: 2}
 	tries := 0
