--- a/internal/job/receiver/hint_test.go
+++ b/internal/job/receiver/hint_test.go
@@ -12,79 +12,79 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-const hintedWithin = 5 * time.Second
+const hintReceiveLimit = 5 * time.Second
 
-// hinted returns a receiver whose owner loses the given number of hints, and the hints
-// that it takes.
-func hinted(f *fakeStore, lost int) (*Receiver, <-chan messenger.WorkHint) {
-	r, taken := newReceiver(f, 0, nil), make(chan messenger.WorkHint, 1)
+// newHintReceiver returns a receiver whose owner loses the given number of hints, and a channel
+// of the hints that reach the owner.
+func newHintReceiver(f *fakeStore, lost int) (*Receiver, <-chan messenger.WorkHint) {
+	r, received := newReceiver(f, 0, nil), make(chan messenger.WorkHint, 1)
 	tries := make(chan struct{}, lost)
 	r.config.CallOwner = func(_ context.Context, method string, params, _ any) error {
 		if method != messenger.MethodWorkHint {
-			return errors.New("away")
+			return errors.New("unavailable")
 		}
 		select {
 		case tries <- struct{}{}:
 			return errors.New("no answer")
 		default:
 		}
-		taken <- params.(messenger.WorkHint)
+		received <- params.(messenger.WorkHint)
 		return nil
 	}
-	return r, taken
+	return r, received
 }
 
-func awaitHint(t *testing.T, taken <-chan messenger.WorkHint) messenger.WorkHint {
+func awaitHint(t *testing.T, received <-chan messenger.WorkHint) messenger.WorkHint {
 	t.Helper()
 	select {
-	case h := <-taken:
+	case h := <-received:
 		return h
-	case <-time.After(hintedWithin):
-		t.Fatalf("the owner was not told within %s", hintedWithin)
+	case <-time.After(hintReceiveLimit):
+		t.Fatalf("no hint within %s", hintReceiveLimit)
 	}
 	return messenger.WorkHint{}
 }
 
-// The first hint of a cancellation is lost on a connection that went silent, as the
-// owner's watch may have: tasks would start after it until the watch ends.
-func TestHintIsRepeatedUntilTheOwnerTookIt(t *testing.T) {
+// Guards against tasks that start after a cancellation: its first hint is lost on a stalled
+// connection, and the owner's watch may have stalled too.
+func TestHintRepeatedUntilAcknowledged(t *testing.T) {
 	f := &fakeStore{written: map[string][]byte{scheduler.JobKey(id): []byte("{}")}}
-	r, taken := hinted(f, 2)
+	r, received := newHintReceiver(f, 2)
 	if res := r.Cancel(t.Context(), id); res.Outcome != Accepted {
 		t.Fatalf("cancelling gives %d (%s)", res.Outcome, res.Reason)
 	}
-	if h := awaitHint(t, taken); h.Key != scheduler.CancelKey(id) {
-		t.Errorf("the owner was told of %s", h.Key)
+	if h := awaitHint(t, received); h.Key != scheduler.CancelKey(id) {
+		t.Errorf("hint of %s", h.Key)
 	}
 }
 
-// The answer to the write is lost and its repeat meets the record: the owner is told of
-// the record that stands.
-func TestHintAfterALostAnswer(t *testing.T) {
-	stands := keeper.Record{Key: scheduler.JobKey(id), Value: []byte("stands"), Revision: 3}
-	f := &fakeStore{answers: []error{keeper.ErrOutcomeUnknown{Cause: errors.New("no answer")}, keeper.ErrConflict{Key: stands.Key, Current: stands}}}
-	r, taken := hinted(f, 0)
+// The answer to the write is lost and its repetition meets a conflict: the hint must hold the
+// existing record.
+func TestHintAfterLostAnswer(t *testing.T) {
+	existing := keeper.Record{Key: scheduler.JobKey(id), Value: []byte("existing"), Revision: 3}
+	f := &fakeStore{answers: []error{keeper.ErrOutcomeUnknown{Cause: errors.New("no answer")}, keeper.ErrConflict{Key: existing.Key, Current: existing}}}
+	r, received := newHintReceiver(f, 0)
 	if res := r.Submit(t.Context(), &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}}); res.Outcome != Accepted {
 		t.Fatalf("submitting gives %d (%s)", res.Outcome, res.Reason)
 	}
-	if h := awaitHint(t, taken); h.Key != stands.Key || string(h.Value) != "stands" || h.Revision != stands.Revision {
-		t.Errorf("the owner was told of %+v", h)
+	if h := awaitHint(t, received); h.Key != existing.Key || string(h.Value) != "existing" || h.Revision != existing.Revision {
+		t.Errorf("hint %+v", h)
 	}
 }
 
-// A process that was suspended tells nothing of long ago: the job may have ended and been
-// forgotten since, and would run again.
-func TestNoHintOfLongAgo(t *testing.T) {
-	r, taken := hinted(&fakeStore{}, 0)
+// Guards against a second execution of a job that has ended and was removed: after a
+// suspension, a process must not send an old hint.
+func TestNoHintAfterTimeout(t *testing.T) {
+	r, received := newHintReceiver(&fakeStore{}, 0)
 	calls, began := 0, time.Now()
 	r.config.Now = func() time.Time {
 		calls++
-		return began.Add(time.Duration(calls) * 2 * hintLimit)
+		return began.Add(time.Duration(calls) * 2 * hintTimeout)
 	}
 	r.hint(t.Context(), keeper.Record{Key: "k"})
 	select {
-	case <-taken:
-		t.Error("the owner was told")
-	case <-time.After(2 * hintPause):
+	case <-received:
+		t.Error("a hint was sent after the timeout")
+	case <-time.After(2 * hintRetryDelay):
 	}
 }
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -15,17 +15,17 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-var errNotOwner = errors.New("owns the cell no more")
+var errNotOwner = errors.New("no longer owns the cell")
 
 const id = "00000000000004d2"
 
-// fakeStore answers writes as told, one answer after the other; the last one stays.
+// fakeStore returns the given answers to writes in order; the last one is repeated.
 type fakeStore struct {
 	mu      sync.Mutex
 	answers []error
 	written map[string][]byte
 	calls   int
-	lost    bool // as the process knows
+	lost    bool // as seen by the process
 }
 
 func (f *fakeStore) transact(_ context.Context, t keeper.Transaction) (int64, error) {
@@ -74,12 +74,12 @@
 	})
 }
 
-// TestSubmit: "refused" promises that the job never runs, so it may be said only of
-// a write that surely had no effect and of which no copy is on its way.
+// Outcome Refused promises that the job never runs. So it is returned only if no write took
+// effect and none is in flight.
 func TestSubmit(t *testing.T) {
 	lost := keeper.ErrOutcomeUnknown{Cause: errors.New("no answer")}
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
-	there := keeper.ErrConflict{Key: scheduler.JobKey(id)}
+	exists := keeper.ErrConflict{Key: scheduler.JobKey(id)}
 	tests := []struct {
 		name    string
 		answers []error
@@ -89,14 +89,14 @@
 		lost    bool
 	}{
 		{"stored", nil, 0, Accepted, 1, false},
-		{"stored before", []error{there}, 0, Accepted, 1, false},
-		{"surely not stored", []error{busy}, 0, Refused, 1, false},
-		{"answer lost, then found stored", []error{lost, there}, 0, Accepted, 2, false},
+		{"stored before", []error{exists}, 0, Accepted, 1, false},
+		{"certainly not stored", []error{busy}, 0, Refused, 1, false},
+		{"answer lost, then a conflict", []error{lost, exists}, 0, Accepted, 2, false},
 		{"answer lost, then stored", []error{lost, nil}, 0, Accepted, 2, false},
-		{"answer lost, then refused: the first may still come", []error{lost, busy}, 0, Unsettled, 0, false},
-		{"answers lost for good", []error{lost}, 0, Unsettled, 0, false},
+		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, Unsettled, 0, false},
+		{"all answers lost", []error{lost}, 0, Unsettled, 0, false},
 		{"store not reached for long", nil, time.Minute, Refused, 0, false},
-		{"store lost a moment ago", nil, 0, Refused, 0, true},
+		{"store lost recently", nil, 0, Refused, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -108,18 +108,18 @@
 				t.Errorf("outcome %d (%s) after %d writes, want %d", res.Outcome, res.Reason, f.calls, tt.want)
 			}
 			if res.Outcome == Refused && res.RetryAfter <= 0 {
-				t.Error("refused without a time to come back")
+				t.Error("refused without a retry time")
 			}
 			if (tt.age > 0 || tt.lost) && f.calls > 0 {
-				t.Error("a write was tried at a store that is known to be away")
+				t.Error("a write was sent to a store that is known to be unavailable")
 			}
 		})
 	}
 }
 
-// The store refuses this entry and serves others. The owner stores for it; if the
-// owner's answer is lost, the job may run, and the caller must not hear "refused".
-func TestSubmitByWayOfTheOwner(t *testing.T) {
+// The store refuses this entry and serves others, so the owner stores the job. If the owner's
+// answer is lost, the job may run, and the outcome must not be Refused.
+func TestSubmitThroughOwner(t *testing.T) {
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
 	tests := []struct {
 		name    string
@@ -129,8 +129,8 @@
 		want    Outcome
 	}{
 		{"stored", messenger.WorkStored, nil, false, Accepted},
-		{"refused there too", messenger.WorkRefused, nil, false, Refused},
-		{"not known there", messenger.WorkUnsettled, nil, false, Unsettled},
+		{"refused at the owner too", messenger.WorkRefused, nil, false, Refused},
+		{"outcome unknown at the owner", messenger.WorkUnsettled, nil, false, Unsettled},
 		{"owner not reached", "", errors.New("refused"), true, Refused},
 		{"owner's answer lost", "", errors.New("lost"), false, Unsettled},
 	}
@@ -153,13 +153,13 @@
 func TestState(t *testing.T) {
 	tests := []struct {
 		name    string
-		owner   string // state that the owner tells; empty: it has no answer
+		owner   string // state in the reply of the owner; empty: no reply
 		written map[string]string
 		want    Outcome
 		state   accountant.JobState
 	}{
 		{"from the owner", "running", nil, Accepted, accountant.JobRunning},
-		{"stored, owner away", "", map[string]string{scheduler.JobKey(id): "{}"}, Accepted, accountant.JobQueued},
+		{"stored, owner unavailable", "", map[string]string{scheduler.JobKey(id): "{}"}, Accepted, accountant.JobQueued},
 		{"progress", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`}, Accepted, accountant.JobDone},
 		{"cancelled", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"running"}`, scheduler.CancelKey(id): "1"}, Accepted, accountant.JobCancelled},
 		{"cancelled after its end", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`, scheduler.CancelKey(id): "1"}, Accepted, accountant.JobDone},
@@ -174,7 +174,7 @@
 			}
 			r := newReceiver(f, 0, func(_ string, result any) error {
 				if tt.owner == "" {
-					return errors.New("away")
+					return errors.New("unavailable")
 				}
 				*result.(*messenger.WorkStateReply) = messenger.WorkStateReply{Known: true, State: tt.owner}
 				return nil
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestOwnerThatKnowsNoJobIsNoProof: an owner that has just begun may not have seen
-// the job yet; only the store proves that there is none.
-func TestOwnerThatKnowsNoJobIsNoProof(t *testing.T) {
+// Guards against NotExist for a stored job: an owner that has just started may not have seen
+// the job yet, so only the store proves that it does not exist.
+func TestStateReadsStoreWhenOwnerLacksJob(t *testing.T) {
 	f := &fakeStore{written: map[string][]byte{scheduler.JobKey(id): []byte("{}")}}
 	r := newReceiver(f, 0, func(string, any) error { return nil })
 	if res := r.State(t.Context(), id); res.Outcome != Accepted || res.State != accountant.JobQueued {
@@ -200,7 +200,7 @@
 	f := &fakeStore{}
 	r := newReceiver(f, 0, nil)
 	if res := r.Cancel(t.Context(), id); res.Outcome != NotExist {
-		t.Errorf("cancelling no job gives %d", res.Outcome)
+		t.Errorf("cancelling an unknown job gives %d", res.Outcome)
 	}
 	f.written[scheduler.JobKey(id)] = []byte("{}")
 	for range 2 {
@@ -213,18 +213,17 @@
 	}
 }
 
-// Callers of an entry that alone does not reach the store are served by their next try,
-// which meets another entry: they must not be told to wait as long as those who ask while
-// the store is away for all.
-func TestWhenRefusedCallersComeBack(t *testing.T) {
+// If only this entry cannot reach the store, the caller's next attempt succeeds at another
+// entry. Its retry time must be shorter than during an outage that affects all entries.
+func TestRetryAfterOfRefusedSubmission(t *testing.T) {
 	tests := []struct {
-		name  string
-		owner func(method string, result any) error
-		long  bool
+		name         string
+		owner        func(method string, result any) error
+		duringOutage bool
 	}{
 		{"the owner is not reached", func(string, any) error { return errors.New("no route") }, false},
-		{"nobody owns the cell any more", func(string, any) error { return errNotOwner }, true},
-		{"the owner does not reach it either", func(_ string, result any) error {
+		{"the cell has no owner", func(string, any) error { return errNotOwner }, true},
+		{"the owner cannot reach the store either", func(_ string, result any) error {
 			result.(*messenger.WorkStoreReply).Outcome = messenger.WorkRefused
 			return nil
 		}, true},
@@ -233,8 +232,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r := newReceiver(&fakeStore{lost: true}, 6*time.Second, tt.owner)
 			res := r.Submit(t.Context(), &specifier.Job{ID: id})
-			if res.Outcome != Refused || res.RetryAfter < retryShortest || (res.RetryAfter > retryShortest) != tt.long {
-				t.Errorf("answered %+v", res)
+			if res.Outcome != Refused || res.RetryAfter < minRetryAfter || (res.RetryAfter > minRetryAfter) != tt.duringOutage {
+				t.Errorf("got %+v", res)
 			}
 		})
 	}
--- a/internal/job/receiver/retry.go
+++ b/internal/job/receiver/retry.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Limits of the time after which a caller that was refused should come back. They answer
-// outages of the store, which last from one second to some ten: told a second each time,
-// callers use up their tries while the store is still away, and those that are left all
-// come back in the same instant.
+// Limits of the time after which a refused caller should retry. Outages of the store last from
+// one to some ten seconds. With a fixed retry time of a second, callers use up their attempts
+// during the outage, and the remaining ones all retry at the same moment.
 const (
-	retryShortest = time.Second
-	retryLongest  = 8 * time.Second
-	// retryShare is how much longer an outage is taken to last, as a part of what it has
-	// lasted; retrySpread is added to it at random, so that callers come back one by one.
-	retryShare  = 0.6
-	retrySpread = 0.4
+	minRetryAfter = time.Second
+	maxRetryAfter = 8 * time.Second
+	// outageFactor is the expected remaining duration of an outage, as a multiple of its
+	// duration so far. A random part of up to outageJitter is added, so that callers do not
+	// retry all at once.
+	outageFactor = 0.6
+	outageJitter = 0.4
 )
 
-// retryAfter returns when a caller should come back while the store has been out of reach
-// for so long. Luck is from 0 to 1.
-func retryAfter(outage time.Duration, luck float64) time.Duration {
-	wait := time.Duration(float64(outage) * (retryShare + retrySpread*luck))
-	return min(max(wait, retryShortest), retryLongest)
+// retryAfter returns the time after which a caller should retry if the store has been
+// unreachable for the given time. random is from 0 to 1.
+func retryAfter(outage time.Duration, random float64) time.Duration {
+	wait := time.Duration(float64(outage) * (outageFactor + outageJitter*random))
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
