--- a/internal/job/follower/follower.go
+++ b/internal/job/follower/follower.go
@@ -1,5 +1,4 @@
-// Package follower keeps the operators' policy up to date from the records that
-// they write to the store.
+// Package follower watches the operators' records in the store and keeps the policy up to date.
 package follower
 
 import (
@@ -14,54 +13,54 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// Lengths of watches.
+// Watch and retry durations.
 const (
-	// watchWait bounds the age of what is known: a watch that answers with nothing
-	// proves that nothing changed. Operators count on a change within 2 s.
-	watchWait = 900 * time.Millisecond
-	pause     = 100 * time.Millisecond
-	// lagLimit is how long lists may be behind what was seen before it is taken that
-	// the store lost its state and counts anew.
-	lagLimit = 5 * time.Second
+	// watchWait bounds the age of the policy: a watch that returns no changes proves that it is
+	// the newest. Operators expect a change to apply within 2 s.
+	watchWait  = 900 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
+	// maxListLag is how long lists may be behind the newest known revision. After it the store
+	// is assumed to have lost its state and to have restarted its revisions.
+	maxListLag = 5 * time.Second
 )
 
 // Config holds the settings of a Follower.
 type Config struct {
 	Store  keeper.Calls
 	Prefix string // of the operators' records
-	// Decode reads all records below the prefix. With an error, for a text that it
-	// can't read, it still returns the zones that are out.
+	// Decode decodes all records below the prefix. If it returns an error for an unreadable
+	// text, the policy still holds the zones that are out.
 	Decode   func(records map[string][]byte) (*specifier.Policy, error)
 	Now      func() time.Time
 	Reporter *reporter.Reporter
 }
 
-// Follower follows the policy. It is safe for concurrent use.
+// Follower keeps the policy up to date. It is safe for concurrent use.
 type Follower struct {
-	config  Config
-	policy  atomic.Pointer[specifier.Policy]
-	contact atomic.Pointer[time.Time] // sent time of the last read that was answered
-	records map[string][]byte
-	after   int64     // 0: list first
-	newest  int64     // highest revision seen
-	lagFrom time.Time // since when lists are behind it; zero: they are not
-	lost    bool
+	config         Config
+	policy         atomic.Pointer[specifier.Policy]
+	contact        atomic.Pointer[time.Time] // when the last answered read was sent
+	records        map[string][]byte
+	after          int64     // 0: list first
+	newestRevision int64     // highest revision seen
+	lagSince       time.Time // when lists first were behind newestRevision; zero: they are not
+	lost           bool
 }
 
-// New returns a Follower that knows no policy.
+// New returns a Follower without a policy.
 func New(c Config) *Follower { return &Follower{config: c} }
 
-// Policy returns the policy in force, never nil; version 0 if none is known.
+// Policy returns the policy in force, never nil. Its version is 0 until one has been read.
 func (f *Follower) Policy() *specifier.Policy {
 	if p := f.policy.Load(); p != nil {
 		return p
 	}
-	return &unknown
+	return &noPolicy
 }
 
-var unknown specifier.Policy
+var noPolicy specifier.Policy
 
-// Age is how long ago the policy was surely the newest.
+// Age returns the time since the policy was last confirmed to be the newest.
 func (f *Follower) Age() time.Duration {
 	at := f.contact.Load()
 	if at == nil {
@@ -70,14 +69,14 @@
 	return f.config.Now().Sub(*at)
 }
 
-// Run follows until ctx ends.
+// Run keeps the policy up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sentAt := f.config.Now()
 		changed, err := f.step(ctx)
-		f.note(err)
+		f.reportReachability(err)
 		if err != nil {
-			_ = pauser.Pause(ctx, pause)
+			_ = pauser.Pause(ctx, retryDelay)
 			continue
 		}
 		f.contact.Store(&sentAt)
@@ -88,18 +87,18 @@
 	return ctx.Err()
 }
 
-// step lists or watches once and tells whether a record changed.
+// step lists or watches once and reports whether a record may have changed.
 func (f *Follower) step(ctx context.Context) (bool, error) {
 	if f.after == 0 {
 		return true, f.list(ctx)
 	}
 	wait := watchWait
 	if f.lost {
-		// The store would answer a waiting watch almost a second after its return, and
-		// callers would be refused meanwhile.
+		// A waiting watch would be answered almost a second after the store is back, and
+		// callers would be refused until then.
 		wait = 0
 	}
-	seen, err := f.config.Store.Watch(ctx, keeper.WatchOptions{Prefix: f.config.Prefix, After: f.after, Wait: wait})
+	result, err := f.config.Store.Watch(ctx, keeper.WatchOptions{Prefix: f.config.Prefix, After: f.after, Wait: wait})
 	if keeper.IsErrHistoryNotExist(err) {
 		f.after = 0
 		return false, nil
@@ -107,16 +106,16 @@
 	if err != nil {
 		return false, err
 	}
-	f.after = max(f.after, seen.Revision)
-	f.newest = max(f.newest, f.after)
-	for _, c := range seen.Changes {
+	f.after = max(f.after, result.Revision)
+	f.newestRevision = max(f.newestRevision, f.after)
+	for _, c := range result.Changes {
 		if c.Deleted {
 			delete(f.records, c.Record.Key)
 		} else {
 			f.records[c.Record.Key] = c.Record.Value
 		}
 	}
-	return len(seen.Changes) > 0, nil
+	return len(result.Changes) > 0, nil
 }
 
 func (f *Follower) list(ctx context.Context) error {
@@ -128,42 +127,43 @@
 			return err
 		}
 		if after == "" {
-			first = page.Revision // what changes during the listing is seen again
-			if f.lags(first) {
-				return fmt.Errorf("list of revision %d after %d", first, f.newest)
+			first = page.Revision // the watch returns changes during the listing again
+			if f.isBehind(first) {
+				return fmt.Errorf("list is at revision %d, behind revision %d seen before", first, f.newestRevision)
 			}
 		}
 		for _, r := range page.Records {
 			records[r.Key], after = r.Value, r.Key
 		}
 		if !page.More || len(page.Records) == 0 {
-			f.records, f.after, f.newest = records, first, first
+			f.records, f.after, f.newestRevision = records, first, first
 			return nil
 		}
 	}
 }
 
-// lags tells of a list that is behind what was seen: it may lack a zone that is out.
-func (f *Follower) lags(revision int64) bool {
-	if revision >= f.newest {
-		f.lagFrom = time.Time{}
+// isBehind reports whether a list is behind the newest known revision, for up to maxListLag.
+// Such a list may lack a zone that is out.
+func (f *Follower) isBehind(revision int64) bool {
+	if revision >= f.newestRevision {
+		f.lagSince = time.Time{}
 		return false
 	}
 	now := f.config.Now()
-	if f.lagFrom.IsZero() {
-		f.lagFrom = now
+	if f.lagSince.IsZero() {
+		f.lagSince = now
 	}
-	return now.Sub(f.lagFrom) < lagLimit
+	return now.Sub(f.lagSince) < maxListLag
 }
 
-// publish puts a newer policy in force. A text that can't be read, or an older one, as
-// a list served by a part of the store that lags may show, leaves the one in force. The
-// zones are records of their own and don't wait for the text.
+// publish puts a newer policy in force. An unreadable or older text, as a lagging replica of
+// the store may return, leaves the current one in force. Zones are records of their own, so
+// their changes apply even if the text is rejected.
 func (f *Follower) publish(sentAt time.Time) {
 	p, err := f.config.Decode(f.records)
 	old := f.Policy()
 	if err == nil && p.Version < old.Version {
-		err = fmt.Errorf("version %d came after %d", p.Version, old.Version)
+		err = fmt.Errorf("policy version %d is older than version %d in force", p.Version, old.Version)
 	}
 	if err != nil {
 		f.config.Reporter.Report(reporter.PolicyUnreadable, reporter.Fields{"error": err.Error()})
@@ -174,8 +174,8 @@
 	f.config.Reporter.Report(reporter.PolicyTaken, reporter.Fields{"version": p.Version, "queues": len(p.Queues), "zones-out": len(p.ZonesOut)})
 }
 
-// note logs when the store is lost and when it is back.
-func (f *Follower) note(err error) {
+// reportReachability logs when the store is lost and when it is reachable again.
+func (f *Follower) reportReachability(err error) {
 	switch {
 	case err != nil && !f.lost:
 		f.config.Reporter.Report(reporter.StoreLost, reporter.Fields{"error": err.Error(), "reader": "policy"})
--- a/internal/job/follower/follower_test.go
+++ b/internal/job/follower/follower_test.go
@@ -17,16 +17,16 @@
 
 const zoneKey = "op/evacuate/a"
 
-// fakeStore has a record whose value is a version, and one while a zone is out.
+// fakeStore has a record that holds a version, and another while a zone is out.
 type fakeStore struct {
-	mu       sync.Mutex
-	value    string
-	out      bool
-	revision int64
-	dropped  bool // the history is gone once
-	down     bool
-	stale    string // what lists show instead of the value
-	lag      int64  // how many revisions lists are behind; they show no zone out, and watches nothing
+	mu             sync.Mutex
+	value          string
+	zoneOut        bool
+	revision       int64
+	historyDropped bool // the next watch returns ErrHistoryNotExist
+	down           bool
+	stale          string // returned by lists in place of value if not empty
+	listLag        int64  // how many revisions lists are behind; if not 0, they lack the zone record and watches return no changes
 }
 
 func (f *fakeStore) set(do func()) {
@@ -47,10 +47,10 @@
 		value = f.stale
 	}
 	records := []keeper.Record{{Key: "op/config", Value: []byte(value)}}
-	if f.out && f.lag == 0 {
+	if f.zoneOut && f.listLag == 0 {
 		records = append(records, keeper.Record{Key: zoneKey})
 	}
-	return keeper.ListResult{Revision: f.revision - f.lag, Records: records}, nil
+	return keeper.ListResult{Revision: f.revision - f.listLag, Records: records}, nil
 }
 
 func (f *fakeStore) watch(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
@@ -60,15 +60,15 @@
 		case f.down:
 			f.mu.Unlock()
 			return keeper.WatchResult{}, keeper.ErrUnavailable{Cause: errors.New("down")}
-		case f.dropped:
-			f.dropped = false
+		case f.historyDropped:
+			f.historyDropped = false
 			f.mu.Unlock()
 			return keeper.WatchResult{}, keeper.ErrHistoryNotExist{After: o.After}
-		case f.revision > o.After && f.lag == 0:
+		case f.revision > o.After && f.listLag == 0:
 			defer f.mu.Unlock()
 			return keeper.WatchResult{Revision: f.revision, Changes: []keeper.Change{
 				{Record: keeper.Record{Key: "op/config", Value: []byte(f.value)}},
-				{Record: keeper.Record{Key: zoneKey}, Deleted: !f.out},
+				{Record: keeper.Record{Key: zoneKey}, Deleted: !f.zoneOut},
 			}}, nil
 		}
 		f.mu.Unlock()
@@ -78,13 +78,13 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
-	return keeper.WatchResult{Revision: o.After}, nil // a change since the last look is for the next watch
+	return keeper.WatchResult{Revision: o.After}, nil // a change since the last check is left to the next watch
 }
 
 func decode(records map[string][]byte) (*specifier.Policy, error) {
-	_, out := records[zoneKey]
+	_, zoneOut := records[zoneKey]
 	v, err := strconv.ParseInt(string(records["op/config"]), 10, 64)
-	return &specifier.Policy{Version: v, ZonesOut: map[string]bool{"a": out}}, err
+	return &specifier.Policy{Version: v, ZonesOut: map[string]bool{"a": zoneOut}}, err
 }
 
 func startFollower(t *testing.T, f *fakeStore) *Follower {
@@ -112,35 +112,33 @@
 	await(t, "version 1", func() bool { return w.Policy().Version == 1 })
 	f.set(func() { f.value = "2" })
 	await(t, "version 2", func() bool { return w.Policy().Version == 2 })
-	f.set(func() { f.value = "3"; f.dropped = true })
+	f.set(func() { f.value = "3"; f.historyDropped = true })
 	await(t, "version 3 after a gap in the history", func() bool { return w.Policy().Version == 3 })
 }
 
-// A list may be served by a part of the store that lags: what is in force must not
-// go back.
-func TestNeverGoesBack(t *testing.T) {
+// A lagging replica of the store may serve a list: the policy must not revert.
+func TestVersionNeverDecreases(t *testing.T) {
 	f := &fakeStore{value: "5", revision: 1}
 	w := startFollower(t, f)
 	await(t, "version 5", func() bool { return w.Policy().Version == 5 })
-	f.set(func() { f.dropped, f.stale = true, "4" })
+	f.set(func() { f.historyDropped, f.stale = true, "4" })
 	time.Sleep(50 * time.Millisecond)
 	if v := w.Policy().Version; v != 5 {
-		t.Errorf("version %d after a list that lags", v)
+		t.Errorf("version %d after a lagging list, want 5", v)
 	}
 }
 
-func TestUnreadableTextLeavesTheOldOneInForce(t *testing.T) {
+func TestUnreadablePolicyKeepsPrevious(t *testing.T) {
 	f := &fakeStore{value: "5", revision: 1}
 	w := startFollower(t, f)
 	await(t, "version 5", func() bool { return w.Policy().Version == 5 })
-	f.set(func() { f.value = "nonsense" })
+	f.set(func() { f.value = "unreadable" })
 	time.Sleep(50 * time.Millisecond)
 	f.set(func() { f.value = "6" })
 	await(t, "version 6", func() bool { return w.Policy().Version == 6 })
 }
 
-// The age tells how old the knowledge may be: it grows while the store is away,
-// however long ago the last change was.
+// The age grows while the store is unavailable, independent of the time of the last change.
 func TestAge(t *testing.T) {
 	f := &fakeStore{value: "5", revision: 1}
 	w := startFollower(t, f)
@@ -151,64 +149,65 @@
 	await(t, "a fresh policy again", func() bool { return w.Age() < 50*time.Millisecond })
 }
 
-// A zone is taken out while the operators' text cannot be read, or is older than the
-// one in force: the zone does not wait for the text, else tasks go on starting in it.
-func TestZonesDoNotWaitForTheText(t *testing.T) {
-	for _, text := range []string{"nonsense", "4"} {
+// Guards against starts in a zone that was taken out while the operators' text is unreadable or
+// older than the one in force: zone changes must apply without the text.
+func TestZonesAppliedDespiteRejectedPolicy(t *testing.T) {
+	for _, text := range []string{"unreadable", "4"} {
 		t.Run(text, func(t *testing.T) {
 			f := &fakeStore{value: "5", revision: 1}
 			w := startFollower(t, f)
 			await(t, "version 5", func() bool { return w.Policy().Version == 5 })
 			f.set(func() { f.value = text })
-			f.set(func() { f.out = true })
+			f.set(func() { f.zoneOut = true })
 			await(t, "zone out", func() bool { return w.Policy().ZonesOut["a"] })
 			if v := w.Policy().Version; v != 5 {
-				t.Errorf("version %d is in force", v)
+				t.Errorf("version %d is in force, want 5", v)
 			}
-			f.set(func() { f.out = false })
+			f.set(func() { f.zoneOut = false })
 			await(t, "zone back", func() bool { return !w.Policy().ZonesOut["a"] })
 		})
 	}
 }
 
-// The history is dropped and a part of the store that lags serves the list: the zone
-// that it shows in is out, and must not come back until the store has caught up.
-func TestListThatLagsBringsNoZoneBack(t *testing.T) {
-	f := &fakeStore{value: "5", revision: 7, out: true}
+// The history is dropped and a lagging replica of the store serves the list: a zone that is out
+// must not return before the list has caught up.
+func TestLaggingListKeepsZoneOut(t *testing.T) {
+	f := &fakeStore{value: "5", revision: 7, zoneOut: true}
 	w := startFollower(t, f)
 	await(t, "zone out", func() bool { return w.Policy().ZonesOut["a"] })
-	f.set(func() { f.dropped, f.lag = true, 3 })
+	f.set(func() { f.historyDropped, f.listLag = true, 3 })
 	for range 100 {
 		time.Sleep(2 * time.Millisecond)
 		if !w.Policy().ZonesOut["a"] {
-			t.Fatal("the zone is back")
+			t.Fatal("the zone is no longer out")
 		}
 	}
-	f.set(func() { f.lag, f.value = 0, "6" })
+	f.set(func() { f.listLag, f.value = 0, "6" })
 	await(t, "version 6", func() bool { return w.Policy().Version == 6 })
 }
 
-// A store that lost its state counts anew: lists that stay behind are taken in the end.
-func TestStoreThatCountsAnew(t *testing.T) {
+// After a loss of its state, the store restarts its revisions: lists that stay behind are
+// accepted after maxListLag.
+func TestListAcceptedAfterStoreReset(t *testing.T) {
 	f := &fakeStore{value: "5", revision: 7}
 	began, calls := time.Now(), 0
 	w := New(Config{Store: keeper.Calls{FindRecords: f.find, Watch: f.watch}, Decode: decode, Reporter: reporter.Discard()})
 	w.config.Now = func() time.Time {
 		calls++
-		return began.Add(time.Duration(calls) * lagLimit / 4)
+		return began.Add(time.Duration(calls) * maxListLag / 4)
 	}
-	w.newest = 9
-	refused := 0
-	for ; w.list(t.Context()) != nil; refused++ {
-		if refused > 10 {
-			t.Fatal("the list is never taken")
+	w.newestRevision = 9
+	rejected := 0
+	for ; w.list(t.Context()) != nil; rejected++ {
+		if rejected > 10 {
+			t.Fatal("the list is never accepted")
 		}
 	}
-	if refused == 0 {
-		t.Error("a list that lags was taken at once")
+	if rejected == 0 {
+		t.Error("a lagging list was accepted at once")
 	}
 	f.set(func() { f.value = "6" })
 	if changed, err := w.step(t.Context()); !changed || err != nil {
-		t.Errorf("change %t after the store counts anew, %v", changed, err)
+		t.Errorf("change %t after the store reset, error %v", changed, err)
 	}
 }
