--- a/internal/job/forwarder/forwarder.go
+++ b/internal/job/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder carries an entry's calls to the owner of the cell, which may
-// be this very process.
+// Package forwarder sends an entry's calls to the owner of the cell, which may be the same
+// process.
 package forwarder
 
 import (
@@ -16,64 +16,63 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths of calls to the owner.
+// Call timeout and interval of hellos.
 const (
-	// CallLimit is how long the owner may take. It answers in milliseconds; a
-	// connection that has gone silent shows only by this.
-	CallLimit  = 700 * time.Millisecond
-	helloPause = time.Second
+	// CallTimeout is how long a call to the owner may take. The owner answers in milliseconds;
+	// only the timeout detects a stalled connection.
+	CallTimeout   = 700 * time.Millisecond
+	helloInterval = time.Second
 )
 
 // Config holds the settings of a Forwarder.
 type Config struct {
 	Self     messenger.PeerAddress
 	Owner    func() (messenger.CellOwner, bool)
-	Handle   connector.Handler // answers calls of this process to itself
+	Handle   connector.Handler // handles calls if this process is the owner, and calls from the owner
 	Reporter *reporter.Reporter
 }
 
-// Forwarder calls the owner. It is safe for concurrent use.
+// Forwarder sends calls to the owner. It is safe for concurrent use.
 type Forwarder struct {
-	config Config
-	mu     sync.Mutex
-	conn   *connector.Conn
-	to     string // address of conn
-	lost   bool
+	config      Config
+	mu          sync.Mutex
+	conn        *connector.Conn
+	connAddress string
+	lost        bool
 }
 
-// ErrOwnerNotExist is returned while no owner is known.
+// ErrOwnerNotExist is returned while no owner of the cell is known.
 type ErrOwnerNotExist struct{}
 
 func (ErrOwnerNotExist) Error() string { return "no owner of the cell is known" }
 
-// NotDone tells of an error of Call that the call surely had no effect.
+// NotDone reports whether an error of Call proves that the call had no effect.
 func NotDone(err error) bool {
 	var none ErrOwnerNotExist
-	var dial errDial
+	var dial dialError
 	code := connector.CodeOf(err)
 	return errors.As(err, &none) || errors.As(err, &dial) || code == messenger.CodeNotOwner || code == messenger.CodeBadRequest
 }
 
-// NotOwner tells of an error of Call that the entry which owned the cell was reached and
-// owns it no more.
+// NotOwner reports whether an error of Call came from an entry that no longer owns the cell.
 func NotOwner(err error) bool { return connector.CodeOf(err) == messenger.CodeNotOwner }
 
-// errDial is returned when no connection came about: nothing was sent.
-type errDial struct{ cause error }
+// dialError is returned if no connection could be opened, so nothing was sent.
+type dialError struct{ cause error }
 
-func (e errDial) Error() string { return e.cause.Error() }
-func (e errDial) Unwrap() error { return e.cause }
+func (e dialError) Error() string { return e.cause.Error() }
+func (e dialError) Unwrap() error { return e.cause }
 
-// New returns a Forwarder without a connection.
+// New returns a Forwarder. It connects to the owner on the first call.
 func New(c Config) *Forwarder { return &Forwarder{config: c} }
 
-// Call calls the owner and decodes its answer into result, a pointer.
+// Call sends a call to the owner and decodes the answer into result, a pointer.
 func (f *Forwarder) Call(ctx context.Context, method string, params, result any) error {
 	owner, ok := f.config.Owner()
 	if !ok {
 		return ErrOwnerNotExist{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, CallLimit)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	if owner.EntryID == f.config.Self.EntryID {
 		return f.callSelf(ctx, method, params, result)
@@ -84,7 +83,7 @@
 	}
 	err = conn.Call(ctx, method, params, result)
 	if err != nil && connector.CodeOf(err) == 0 {
-		// No answer: the connection may have gone silent for good.
+		// No answer: the connection may have stalled for good.
 		f.drop(conn)
 	}
 	return err
@@ -109,7 +108,7 @@
 func (f *Forwarder) connect(ctx context.Context, address string) (*connector.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.conn != nil && f.to == address {
+	if f.conn != nil && f.connAddress == address {
 		select {
 		case <-f.conn.Done():
 		default:
@@ -122,9 +121,9 @@
 	}
 	conn, err := connector.Dial(ctx, address, f.config.Handle)
 	if err != nil {
-		return nil, errDial{err}
+		return nil, dialError{err}
 	}
-	f.conn, f.to = conn, address
+	f.conn, f.connAddress = conn, address
 	return conn, nil
 }
 
@@ -137,27 +136,27 @@
 	conn.Close()
 }
 
-// Run tells the owner about this entry until ctx ends, so that agents learn of
-// more than one entry.
+// Run sends hellos to the owner until ctx ends, so that agents learn the addresses of all
+// entries.
 func (f *Forwarder) Run(ctx context.Context) error {
 	for {
 		var w messenger.WorkOwner
-		f.note(f.Call(ctx, messenger.MethodWorkHello, f.config.Self, &w))
-		if err := pauser.Pause(ctx, helloPause); err != nil {
+		f.reportReachability(f.Call(ctx, messenger.MethodWorkHello, f.config.Self, &w))
+		if err := pauser.Pause(ctx, helloInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// note logs when the owner is lost and when it is back.
-func (f *Forwarder) note(err error) {
+// reportReachability logs when the owner is lost and when it is reachable again.
+func (f *Forwarder) reportReachability(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case err != nil && !f.lost:
 		f.config.Reporter.Report(reporter.OwnerUnreachable, reporter.Fields{"error": err.Error()})
 	case err == nil && f.lost:
-		f.config.Reporter.Report(reporter.OwnerReached, reporter.Fields{"address": f.to})
+		f.config.Reporter.Report(reporter.OwnerReached, reporter.Fields{"address": f.connAddress})
 	}
 	f.lost = err != nil
 }
--- a/internal/job/forwarder/forwarder_test.go
+++ b/internal/job/forwarder/forwarder_test.go
@@ -13,9 +13,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// The connection to the owner goes silent without an end: the call on it fails within its
-// limit, and the next one goes over a new connection.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// The connection to the owner stalls without being closed: the call on it fails within its
+// timeout, and the next call uses a new connection.
+func TestStalledConnectionReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	go func() {
 		served <- connector.Serve(ctx, l, func(ctx context.Context, c *connector.Conn, _ string, _ json.RawMessage) (any, error) {
 			if c == first.Load() {
-				<-ctx.Done() // gone silent
+				<-ctx.Done() // never answer
 			}
 			return messenger.WorkOwner{}, nil
 		}, func(c *connector.Conn) { opened <- c })
@@ -49,10 +49,10 @@
 	first.Store(<-opened)
 	began := time.Now()
 	if err := call(); err == nil || NotDone(err) {
-		t.Errorf("a call without an answer gives %v", err)
+		t.Errorf("call without an answer: got error %v, which must not prove that it had no effect", err)
 	}
-	if took := time.Since(began); took > 2*CallLimit {
-		t.Errorf("it took %s", took)
+	if took := time.Since(began); took > 2*CallTimeout {
+		t.Errorf("the call took %s", took)
 	}
 	if err := call(); err != nil {
 		t.Errorf("the next call: %v", err)
