--- a/internal/job/learner/group.go
+++ b/internal/job/learner/group.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Limits of what is learned of a group's own headroom.
+// Limits for the headroom that a group has of its own, without best-effort tasks.
 const (
-	// unknownOwn is taken for a group without a report: the mean over groups.
-	unknownOwn = 2.4
-	// unknownSwing is how far a group's own headroom is taken to fall below its mean
-	// before a whole swing of its load was seen.
-	unknownSwing = 0.6
-	// ownTime is the time constant of the own headroom: reports are a mean over half a
-	// second, and the load swings over some ten.
-	ownTime = 400 * time.Millisecond
-	// lowTime is the time constant with which the lowest headroom seen is forgotten,
-	// longer than a swing.
-	lowTime = 20 * time.Second
-	// groupLife is how long a group without reports is remembered.
-	groupLife = time.Minute
+	// defaultOwnHeadroom is assumed for a group without reports: the mean over all groups.
+	defaultOwnHeadroom = 2.4
+	// defaultSwing is how far the own headroom of a group is assumed to fall below its mean
+	// until one full swing of its load has been observed.
+	defaultSwing = 0.6
+	// ownTimeConstant is the time constant for smoothing the own headroom: reports are
+	// averages over half a second, and the load swings over about ten seconds.
+	ownTimeConstant = 400 * time.Millisecond
+	// lowTimeConstant is the time constant with which the lowest headroom observed decays. It
+	// is longer than a swing of the load.
+	lowTimeConstant = 20 * time.Second
+	// groupTTL is how long a group without reports is kept.
+	groupTTL = time.Minute
 )
 
-// group is a number of lasting tasks that share their users.
+// group holds the headroom of a set of long-running tasks that serve the same users.
 type group struct {
-	own  float64 // headroom without disturbance, as of late
-	low  float64 // the lowest of the last swing
+	own  float64 // recent headroom without interference
+	low  float64 // lowest value over the last swing of the load
 	at   time.Time
 	seen bool
 }
@@ -34,33 +34,33 @@
 	g := l.groups[name]
 	if g == nil {
 		for n, other := range l.groups {
-			if now.Sub(other.at) > groupLife {
+			if now.Sub(other.at) > groupTTL {
 				delete(l.groups, n)
 			}
 		}
-		g = &group{own: unknownOwn, low: unknownOwn - unknownSwing, at: now}
+		g = &group{own: defaultOwnHeadroom, low: defaultOwnHeadroom - defaultSwing, at: now}
 		l.groups[name] = g
 	}
 	return g
 }
 
-// observe takes an estimate of the own headroom in; the more of it rests on uncertain
-// effects, the less it weighs.
-func (g *group) observe(own, spread float64, now time.Time) {
-	passed := max(now.Sub(g.at), 20*time.Millisecond)
+// observe updates the estimate of the own headroom. The larger the variance of the predicted
+// interference, the less weight the new value gets.
+func (g *group) observe(own, predictionVariance float64, now time.Time) {
+	elapsed := max(now.Sub(g.at), 20*time.Millisecond)
 	g.at = now
-	share := (1 - math.Exp(-float64(passed)/float64(ownTime))) * noise * noise / (noise*noise + spread)
-	g.own += share * (own - g.own)
-	g.low += (1 - math.Exp(-float64(passed)/float64(lowTime))) * (g.own - g.low)
+	weight := (1 - math.Exp(-float64(elapsed)/float64(ownTimeConstant))) * reportNoise * reportNoise / (reportNoise*reportNoise + predictionVariance)
+	g.own += weight * (own - g.own)
+	g.low += (1 - math.Exp(-float64(elapsed)/float64(lowTimeConstant))) * (g.own - g.low)
 	g.low = math.Min(g.low, g.own)
 	g.seen = true
 }
 
-// Own returns a group's headroom without disturbance, now and at the lowest of its
-// swing.
-func (l *Learner) Own(name string) (now, low float64) {
+// OwnHeadroom returns a group's headroom without interference: the present value and the
+// lowest one over a swing of its load.
+func (l *Learner) OwnHeadroom(name string) (now, low float64) {
 	if g := l.groups[name]; g != nil {
 		return g.own, g.low
 	}
-	return unknownOwn, unknownOwn - unknownSwing
+	return defaultOwnHeadroom, defaultOwnHeadroom - defaultSwing
 }
--- a/internal/job/learner/learner.go
+++ b/internal/job/learner/learner.go
@@ -1,16 +1,17 @@
-// Package learner learns which filling tasks disturb which lasting tasks.
+// Package learner estimates how much each best-effort image interferes with each long-running
+// image.
 //
-// The quantity learned is headroom: the target of a lasting task divided by the tail
-// of its response times, so 1 is at the target and more is better. Like the idle
-// share of a server with a queue, headroom falls about evenly with load, where the
-// tail itself stays flat and then explodes; so effects add up in headroom and can be
-// told apart, and a disturbance is seen well before the target is missed.
+// The quantity estimated is headroom: the target of a long-running task divided by its tail
+// latency, so 1 is at the target and more is better. Like the idle share of a server with a
+// queue, headroom falls about linearly with load, whereas the tail latency itself stays flat
+// and then rises steeply. Therefore effects add up in headroom and can be separated, and
+// interference is visible well before the target is missed.
 //
-// What headroom a lasting task has is its own, which swings with the load of its
-// users, less what the filling images beside it take. Tasks of one step share their
-// users' load, so its own headroom is learned from all of them together. What a
-// filling image takes belongs to the pair of images, in headroom for each whole VM
-// that its tasks use.
+// The headroom of a long-running task is its own headroom, which varies with the load of its
+// users, minus what the best-effort images on the same VM cost it. Tasks of one step share the
+// load of their users, so their own headroom is estimated from all of them together. The cost
+// of a best-effort image is estimated per pair of images, in headroom for a whole VM used by
+// its tasks.
 package learner
 
 import (
@@ -19,171 +20,173 @@
 	"time"
 )
 
-// Limits of learning. In traces of reports of both kinds of deployment about one
-// pair in five took 8 to 13 of headroom for a whole VM, the others 0.5 to 2; the
-// noise of a report around the sum of its parts was 0.25.
+// Parameters of the estimates. About one pair of images in five costs 8 to 13 of headroom for
+// a whole VM, the others 0.5 to 2. Reports deviate by about 0.25 from the sum of own headroom
+// and interference.
 const (
-	// unknownEffect and unknownSpread are taken for a pair without reports: the mean
-	// over all pairs, and the spread between them.
-	unknownEffect = 2.5
-	unknownSpread = 3.0
-	// noise is the spread of a report around what is predicted, in headroom.
-	noise = 0.3
-	// drift is by how much an effect may change in a report, as a spread: an effect
-	// that is wrong by 8 is found again within some 20 reports.
-	drift = 0.2
-	// caution is how many spreads an effect is taken above its mean. It keeps more
-	// than one or two tasks of an unknown image from coming to a VM at once.
-	caution = 0.5
-	// useMin is the share of a VM below which an image's use tells nothing.
-	useMin = 0.01
-	// saturated is the headroom below which a report tells only that the disturbance
-	// is at least so large: queues have grown, and drain after their cause.
-	saturated = 0.25
-	// headroomMax bounds a report: tails of 1 ms would weigh too much.
-	headroomMax = 4.5
-	// priorWeight is how many reports of other lasting images weigh as much as the
-	// mean over all pairs in an effect that has no report of its own.
+	// defaultEffect and defaultSpread are assumed for a pair without reports: the mean over
+	// all pairs and the standard deviation between them.
+	defaultEffect = 2.5
+	defaultSpread = 3.0
+	// reportNoise is the standard deviation of a report from its prediction, in headroom.
+	reportNoise = 0.3
+	// effectDrift is the standard deviation of the change of an effect between two reports.
+	// With it an effect that is wrong by 8 is corrected within about 20 reports.
+	effectDrift = 0.2
+	// cautionFactor is how many standard deviations a cautious effect is above the mean. It
+	// prevents more than one or two tasks of an unknown image from starting on a VM at once.
+	cautionFactor = 0.5
+	// minUse is the share of a VM below which the use of an image says nothing about its
+	// effect.
+	minUse = 0.01
+	// saturatedHeadroom is the headroom below which a report gives only a lower bound of the
+	// interference: queues have built up, and they drain only after the cause has ended.
+	saturatedHeadroom = 0.25
+	// maxHeadroom caps the headroom of a report: tails of 1 ms would get too much weight.
+	maxHeadroom = 4.5
+	// priorWeight is the weight of the mean over all pairs, in reports: the prior effect of a
+	// best-effort image averages this mean with the image's reports on other long-running
+	// images.
 	priorWeight = 20.0
 )
 
-// Use is how much of a VM the tasks of each filling image use, as a share of its
-// processors.
+// Use is the share of a VM's processors that the tasks of each best-effort image use.
 type Use map[string]float64
 
-// Observation is a report on a lasting task.
+// Observation is a report on a long-running task.
 type Observation struct {
-	Group    string // of lasting tasks that share their users
-	Image    string // of the lasting task
+	Group    string // long-running tasks that serve the same users
+	Image    string // of the long-running task
 	Headroom float64
-	Use      Use // of what fills beside it, over the time of the report
+	Use      Use // of the best-effort images on the same VM, over the period of the report
 	At       time.Time
 }
 
-// effect is what is known of a pair.
+// effect is the estimated effect of a best-effort image on a long-running image.
 type effect struct {
 	mean, variance float64
 	at             time.Time // of the last report
 }
 
-// imageMean is what a filling image takes over all lasting images.
+// imageMean is the mean effect of a best-effort image over all long-running images.
 type imageMean struct{ value, reports float64 }
 
-// Learner holds what was learned. It is not safe for concurrent use.
+// Learner holds the estimates. It is not safe for concurrent use.
 type Learner struct {
-	effects map[string]map[string]*effect // by lasting image, then filling image
-	means   map[string]*imageMean         // by filling image
+	effects map[string]map[string]*effect // by long-running image, then best-effort image
+	means   map[string]*imageMean         // by best-effort image
 	groups  map[string]*group
 }
 
-// New returns a Learner that knows nothing.
+// New returns a Learner without any observations.
 func New() *Learner {
 	return &Learner{effects: make(map[string]map[string]*effect), means: make(map[string]*imageMean), groups: make(map[string]*group)}
 }
 
-// Observe takes a report in.
+// Observe updates the estimates from a report.
 func (l *Learner) Observe(o Observation) {
-	headroom := math.Min(o.Headroom, headroomMax)
-	taken, spread := 0.0, 0.0
+	headroom := math.Min(o.Headroom, maxHeadroom)
+	predictedLoss, predictionVariance := 0.0, 0.0
 	for image, use := range o.Use {
-		if use >= useMin {
-			e := l.pair(o.Image, image)
-			taken += e.mean * use
-			spread += e.variance * use * use
+		if use >= minUse {
+			e := l.pairEffect(o.Image, image)
+			predictedLoss += e.mean * use
+			predictionVariance += e.variance * use * use
 		}
 	}
 	g := l.group(o.Group, o.At)
-	l.correct(o, headroom, g.own-headroom-taken, spread)
-	if headroom > saturated {
-		g.observe(headroom+taken, spread, o.At)
+	l.updateEffects(o, headroom, g.own-headroom-predictedLoss, predictionVariance)
+	if headroom > saturatedHeadroom {
+		g.observe(headroom+predictedLoss, predictionVariance, o.At)
 	}
 }
 
-// correct changes the effects of the images in use by what the report misses of the
-// prediction, each by how uncertain it is and how much of the VM it uses.
-func (l *Learner) correct(o Observation, headroom, miss, spread float64) {
-	if spread == 0 || headroom <= saturated && miss < 0 {
+// updateEffects corrects the effects of the images in use by the residual between the report
+// and its prediction, each in proportion to its uncertainty and to its use of the VM.
+func (l *Learner) updateEffects(o Observation, headroom, residual, predictionVariance float64) {
+	if predictionVariance == 0 || headroom <= saturatedHeadroom && residual < 0 {
 		return
 	}
-	all := spread + noise*noise
+	totalVariance := predictionVariance + reportNoise*reportNoise
 	for image, use := range o.Use {
-		if use < useMin {
+		if use < minUse {
 			continue
 		}
-		e := l.pair(o.Image, image)
-		gain := e.variance * use / all
-		e.mean = math.Max(e.mean+gain*miss, 0)
-		e.variance = math.Min(e.variance*(1-gain*use)+drift*drift, unknownSpread*unknownSpread)
+		e := l.pairEffect(o.Image, image)
+		gain := e.variance * use / totalVariance
+		e.mean = math.Max(e.mean+gain*residual, 0)
+		e.variance = math.Min(e.variance*(1-gain*use)+effectDrift*effectDrift, defaultSpread*defaultSpread)
 		e.at = o.At
-		l.noteMean(image, e.mean)
+		l.updateMean(image, e.mean)
 	}
 }
 
-// noteMean counts a report on a filling image.
-func (l *Learner) noteMean(image string, effect float64) {
+// updateMean adds a report to the mean effect of a best-effort image.
+func (l *Learner) updateMean(image string, effect float64) {
 	m := l.means[image]
 	if m == nil {
-		m = &imageMean{value: unknownEffect}
+		m = &imageMean{value: defaultEffect}
 		l.means[image] = m
 	}
 	m.reports++
 	m.value += (effect - m.value) / math.Min(m.reports, priorWeight)
 }
 
-// pair returns the effect of a pair, to be changed.
-func (l *Learner) pair(lasting, image string) *effect {
-	pairs := l.effects[lasting]
+// pairEffect returns the stored effect of a pair for modification. It adds the pair if it is
+// missing.
+func (l *Learner) pairEffect(longRunning, image string) *effect {
+	pairs := l.effects[longRunning]
 	if pairs == nil {
 		pairs = make(map[string]*effect)
-		l.effects[lasting] = pairs
+		l.effects[longRunning] = pairs
 	}
 	e := pairs[image]
 	if e == nil {
-		e = &effect{mean: l.prior(image), variance: unknownSpread * unknownSpread}
+		e = &effect{mean: l.prior(image), variance: defaultSpread * defaultSpread}
 		pairs[image] = e
 	}
 	return e
 }
 
-// prior is the effect that is expected of a filling image beside a lasting image
-// without reports of both: loud images are mostly loud beside all.
+// prior is the effect assumed for a best-effort image on a long-running image without reports
+// of the pair. An image that interferes with one long-running image mostly interferes with
+// all.
 func (l *Learner) prior(image string) float64 {
 	m := l.means[image]
 	if m == nil {
-		return unknownEffect
+		return defaultEffect
 	}
-	return (m.value*m.reports + unknownEffect*priorWeight) / (m.reports + priorWeight)
+	return (m.value*m.reports + defaultEffect*priorWeight) / (m.reports + priorWeight)
 }
 
-// Effect returns how much headroom a lasting image is expected to lose when a
-// filling image uses a whole VM beside it.
-func (l *Learner) Effect(lasting, image string) float64 {
-	if e := l.effects[lasting][image]; e != nil {
+// Effect returns how much headroom a long-running image is expected to lose if a best-effort
+// image uses the whole of the same VM.
+func (l *Learner) Effect(longRunning, image string) float64 {
+	if e := l.effects[longRunning][image]; e != nil {
 		return e.mean
 	}
 	return l.prior(image)
 }
 
-// CautiousEffect is Effect, rather too much than too little.
-func (l *Learner) CautiousEffect(lasting, image string) float64 {
-	if e := l.effects[lasting][image]; e != nil {
-		return e.mean + caution*math.Sqrt(e.variance)
+// CautiousEffect returns the effect plus a safety margin that grows with its uncertainty.
+func (l *Learner) CautiousEffect(longRunning, image string) float64 {
+	if e := l.effects[longRunning][image]; e != nil {
+		return e.mean + cautionFactor*math.Sqrt(e.variance)
 	}
-	return l.prior(image) + caution*unknownSpread
+	return l.prior(image) + cautionFactor*defaultSpread
 }
 
-// Known returns the effect of a pair and how much is known of it, from 0 to 1.
-func (l *Learner) Known(lasting, image string) (effect, trust float64) {
-	e := l.effects[lasting][image]
+// KnownEffect returns the effect of a pair and the confidence in it, from 0 to 1.
+func (l *Learner) KnownEffect(longRunning, image string) (effect, confidence float64) {
+	e := l.effects[longRunning][image]
 	if e == nil {
 		return 0, 0
 	}
-	return e.mean, 1 - e.variance/(unknownSpread*unknownSpread)
+	return e.mean, 1 - e.variance/(defaultSpread*defaultSpread)
 }
 
-// FillingImages returns the filling images of which there are reports, in the order of
-// their names.
-func (l *Learner) FillingImages() []string {
+// BestEffortImages returns the names of the best-effort images with reports, sorted.
+func (l *Learner) BestEffortImages() []string {
 	images := make([]string, 0, len(l.means))
 	for image := range l.means {
 		images = append(images, image)
--- a/internal/job/learner/learner_test.go
+++ b/internal/job/learner/learner_test.go
@@ -9,17 +9,17 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// report feeds a report on a task of image "l", and one on another task of the same
-// step on a VM with nothing that fills.
-func report(l *Learner, n int, alone, taken float64, use Use) {
+// report feeds one report on a task of image "l", and one on another task of the same step on
+// a VM without best-effort tasks.
+func report(l *Learner, n int, alone, loss float64, use Use) {
 	at := begin.Add(time.Duration(n) * 300 * time.Millisecond)
 	l.Observe(Observation{Group: "g", Image: "l", Headroom: alone, At: at})
-	l.Observe(Observation{Group: "g", Image: "l", Headroom: alone - taken, Use: use, At: at})
+	l.Observe(Observation{Group: "g", Image: "l", Headroom: alone - loss, Use: use, At: at})
 }
 
-// A lasting image is disturbed by one of three filling images. Reports show mixes
-// of all three; the one at fault must be found within some seconds of reports.
-func TestFindsTheImageAtFault(t *testing.T) {
+// One of three best-effort images interferes with a long-running image. Reports show mixes of
+// all three; the interfering one must be identified within some seconds of reports.
+func TestInterferingImageIsIdentified(t *testing.T) {
 	const seed = 7
 	random := rand.New(rand.NewPCG(seed, seed))
 	l := New()
@@ -32,75 +32,75 @@
 	}
 }
 
-// The load of a lasting task swings by itself, from far below its target to near it.
-// What fills beside it must not be blamed for that, however the two coincide.
-func TestSwingOfTheLoadIsNotTheFillsFault(t *testing.T) {
+// The load of a long-running task swings by itself, from far below its target to near it. This
+// must not be attributed to the best-effort tasks on its VM, whatever the correlation.
+func TestLoadSwingIsNotAttributedToBestEffort(t *testing.T) {
 	l := New()
 	for n := range 60 {
 		swing := math.Sin(2 * math.Pi * float64(n) * 0.3 / 10)
 		report(l, n, 2.4+0.9*swing, 0, Use{"f": 0.2 * (1 - swing)})
 	}
 	if e := l.Effect("l", "f"); e > 1 {
-		t.Errorf("an effect of %.2f is taken from a swing of the load alone", e)
+		t.Errorf("effect is %.2f after a swing of the load alone, want at most 1", e)
 	}
-	if now, low := l.Own("g"); low > 1.9 || now < low {
-		t.Errorf("own headroom %.2f, lowest %.2f; it fell to 1.5", now, low)
+	if now, low := l.OwnHeadroom("g"); low > 1.9 || now < low {
+		t.Errorf("own headroom is %.2f and its lowest value %.2f; the load took it down to 1.5", now, low)
 	}
 }
 
-// Effects change within seconds. An image that was loud and became quiet must be
-// let in again, and the other way round.
-func TestFollowsAChange(t *testing.T) {
+// Effects change within seconds. An image that no longer interferes must be admitted again,
+// and one that begins to interfere must be detected.
+func TestEffectFollowsChange(t *testing.T) {
 	l := New()
 	use := Use{"f": 0.2}
 	for n := range 20 {
 		report(l, n, 2.4, 1.8, use)
 	}
 	if e := l.Effect("l", "f"); e < 6 {
-		t.Errorf("after 20 loud reports an effect of %.2f is expected, want about 9", e)
+		t.Errorf("effect is %.2f after 20 reports with interference, want about 9", e)
 	}
 	for n := range 20 {
 		report(l, 20+n, 2.4, 0, use)
 	}
 	if e := l.Effect("l", "f"); e > 2 {
-		t.Errorf("after 20 quiet reports an effect of %.2f is expected", e)
+		t.Errorf("effect is %.2f after 20 reports without interference, want about 0", e)
 	}
 	for n := range 20 {
 		report(l, 40+n, 2.4, 1.8, use)
 	}
 	if e := l.Effect("l", "f"); e < 6 {
-		t.Errorf("loud again for 20 reports, and an effect of %.2f is expected", e)
+		t.Errorf("effect is %.2f after 20 more reports with interference, want about 9", e)
 	}
 }
 
-// A tail that has exploded tells only that the disturbance is at least so large, and
-// queues drain after their cause: such reports never make an effect smaller.
-func TestDrainingQueueClearsNobody(t *testing.T) {
+// An extreme tail gives only a lower bound of the interference, and queues drain only after
+// its cause has ended. Such reports must never lower an effect.
+func TestDrainingQueueNeverLowersEffect(t *testing.T) {
 	l := New()
 	for n := range 20 {
 		report(l, n, 2.4, 1.8, Use{"f": 0.2})
 	}
-	loud := l.Effect("l", "f")
+	before := l.Effect("l", "f")
 	for n := range 20 {
 		at := begin.Add(time.Duration(20+n) * 300 * time.Millisecond)
 		l.Observe(Observation{Group: "g", Image: "l", Headroom: 0.05, Use: Use{"f": 0.5}, At: at})
 	}
-	if e := l.Effect("l", "f"); e < loud {
-		t.Errorf("an effect of %.2f became %.2f while the tail was twenty times its target", loud, e)
+	if e := l.Effect("l", "f"); e < before {
+		t.Errorf("effect fell from %.2f to %.2f while the tail was twenty times its target", before, e)
 	}
 }
 
-func TestUnknownImagesTakeAfterOthers(t *testing.T) {
+func TestUnknownPairUsesEffectOnOtherImages(t *testing.T) {
 	l := New()
 	before := l.Effect("new", "f")
 	for n := range 40 {
 		report(l, n, 2.4, 1.8, Use{"f": 0.2})
 	}
 	if after := l.Effect("new", "f"); after <= 1.5*before {
-		t.Errorf("loud beside another image, yet %.2f is expected beside a third (%.2f before)", after, before)
+		t.Errorf("effect on an unknown image is %.2f after reports of interference with another image, was %.2f before", after, before)
 	}
 	if l.CautiousEffect("new", "f") <= l.Effect("new", "f") {
-		t.Error("no caution about a pair without reports")
+		t.Error("cautious effect of a pair without reports is not above the effect")
 	}
 }
 
@@ -110,15 +110,15 @@
 		report(l, n, 1, -3, Use{"f": 1})
 	}
 	if e := l.Effect("l", "f"); e < 0 {
-		t.Errorf("effect %f", e)
+		t.Errorf("effect is %f, want at least 0", e)
 	}
 }
 
-func TestGroupsAreForgotten(t *testing.T) {
+func TestGroupsExpire(t *testing.T) {
 	l := New()
 	l.Observe(Observation{Group: "old", Image: "l", Headroom: 2, At: begin})
-	l.Observe(Observation{Group: "new", Image: "l", Headroom: 2, At: begin.Add(2 * groupLife)})
+	l.Observe(Observation{Group: "new", Image: "l", Headroom: 2, At: begin.Add(2 * groupTTL)})
 	if len(l.groups) != 1 {
-		t.Errorf("%d groups are remembered", len(l.groups))
+		t.Errorf("%d groups are kept, want 1", len(l.groups))
 	}
 }
--- a/internal/job/planner/company.go
+++ b/internal/job/planner/company.go
@@ -38,7 +38,7 @@
 func newOutlook(in Input, idle float64) *outlook {
 	asked := make(map[string]float64)
 	if in.Learner != nil {
-		for _, image := range in.Learner.FillingImages() {
+		for _, image := range in.Learner.BestEffortImages() {
 			asked[image] = 0
 		}
 	}
@@ -71,7 +71,7 @@
 	if l == nil {
 		return unknownShare
 	}
-	effect, trust := l.Known(lasting, fill)
+	effect, trust := l.KnownEffect(lasting, fill)
 	known := min(spareHeadroom/max(effect, spareHeadroom), 1)
 	return trust*known + (1-trust)*unknownShare
 }
--- a/internal/job/planner/disturb.go
+++ b/internal/job/planner/disturb.go
@@ -126,7 +126,7 @@
 		if !l.Lasting || l.TailMillis <= 0 {
 			continue
 		}
-		own, low := r.learner.Own(groupOf(run))
+		own, low := r.learner.OwnHeadroom(groupOf(run))
 		left := own + lowWeight*(low-own)
 		for image, u := range use {
 			left -= u * r.effect(l.Image, image)
--- a/internal/job/planner/ease.go
+++ b/internal/job/planner/ease.go
@@ -85,7 +85,7 @@
 		for i, u := range use {
 			alone += u * in.Learner.Effect(image, i)
 		}
-		own, _ := in.Learner.Own(groupOf(r))
+		own, _ := in.Learner.OwnHeadroom(groupOf(r))
 		all = append(all, guarded{image, reportWeight*alone + (1-reportWeight)*own})
 	}
 	return all
