--- a/internal/job/planner/advise.go
+++ b/internal/job/planner/advise.go
@@ -7,52 +7,52 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Limits of asking for advice.
+// Limits of requests for advice.
 const (
-	// maxAsked is how many VMs one question names: an answer takes a time for each,
-	// and the service takes one question at a time.
-	maxAsked = 20
-	// ticketMargin is how long before its end a ticket counts as over: a start is on
-	// its way some milliseconds, and its tasks may wait for one another.
+	// maxVMsPerRequest is how many VMs one request names: the service needs some time for each
+	// VM and handles one request at a time.
+	maxVMsPerRequest = 20
+	// ticketMargin is how long before its expiry a ticket counts as expired: a start takes
+	// some milliseconds to arrive, and the tasks of a step may wait for one another.
 	ticketMargin = 300 * time.Millisecond
 )
 
-// Question asks for tickets for a step.
+// Question is a request for tickets for a step.
 type Question struct {
 	Step *accountant.Step
 	VMs  []*accountant.VM
 }
 
-// Ask returns the most urgent question for the advising service, if there is one: a
-// step of which no usable VM with room has a ticket that holds. The VMs with most
-// room are asked about first; those that were asked in vain come last, by turns.
+// Ask returns the most urgent request for the advising service, if there is one: for a step
+// without a valid ticket for any usable VM with enough free capacity. VMs with the most free
+// capacity come first. VMs that already have an answer without a valid ticket come last.
 func Ask(in Input) (Question, bool) {
 	for _, s := range order(in, in.State.WaitingSteps(in.Now)) {
 		if !s.Occurrence.Job.Queue.Advised || in.Now.Before(s.AdviseAt) {
 			continue
 		}
-		var candidates []*room
-		ticketed := false
+		var candidates []*vmState
+		hasTicket := false
 		for _, vm := range in.State.VMs {
-			if !usable(vm, in) || !s.Occurrence.Job.Queue.RunsOn(vm.Service) || vm.WorkerID == "" {
+			if !acceptsTasks(vm, in) || !s.Occurrence.Job.Queue.RunsOn(vm.Service) || vm.WorkerID == "" {
 				continue
 			}
-			m := newRoom(vm, in.Now.Add(ticketMargin))
+			m := newVMState(vm, in.Now.Add(ticketMargin))
 			if !m.free.Fits(s.Spec.Committed()) {
 				continue
 			}
-			ticketed = ticketed || m.ticketed(s)
+			hasTicket = hasTicket || m.hasTicket(s)
 			candidates = append(candidates, m)
 		}
-		if ticketed || len(candidates) == 0 {
+		if hasTicket || len(candidates) == 0 {
 			continue
 		}
-		return Question{Step: s, VMs: pickAsked(s, candidates)}, true
+		return Question{Step: s, VMs: selectVMs(s, candidates)}, true
 	}
 	return Question{}, false
 }
 
-func pickAsked(s *accountant.Step, candidates []*room) []*accountant.VM {
+func selectVMs(s *accountant.Step, candidates []*vmState) []*accountant.VM {
 	sort.Slice(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
 		_, askedA := s.Tickets[a.vm.Name]
@@ -66,7 +66,7 @@
 		return a.vm.Name < b.vm.Name
 	})
 	var vms []*accountant.VM
-	for _, m := range candidates[:min(len(candidates), maxAsked)] {
+	for _, m := range candidates[:min(len(candidates), maxVMsPerRequest)] {
 		vms = append(vms, m.vm)
 	}
 	return vms
--- a/internal/job/planner/advise_test.go
+++ b/internal/job/planner/advise_test.go
@@ -8,26 +8,26 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Tasks of an advised queue start only with a ticket that holds for the VM, for its
-// worker's present life, and now.
+// Tasks of an advised queue start only with a ticket that is valid for the VM, the current
+// incarnation of its worker, and the present time.
 func TestAdvisedQueue(t *testing.T) {
 	good := accountant.Ticket{Text: "t", Life: "1", Until: begin.Add(time.Second)}
 	tests := []struct {
-		name    string
-		tickets map[string]accountant.Ticket
-		starts  int
-		asks    int // VMs asked about
+		name      string
+		tickets   map[string]accountant.Ticket
+		starts    int
+		requested int // VMs named in the request
 	}{
-		{"nobody was asked", nil, 0, 2},
+		{"no request yet", nil, 0, 2},
 		{"a ticket for one VM", map[string]accountant.Ticket{"one": good}, 2, 0},
-		{"of an earlier life", map[string]accountant.Ticket{"one": {Text: "t", Life: "0", Until: good.Until}}, 0, 2},
-		{"over", map[string]accountant.Ticket{"one": {Text: "t", Life: "1", Until: begin}}, 0, 2},
-		{"nearly over", map[string]accountant.Ticket{"one": {Text: "t", Life: "1", Until: begin.Add(ticketMargin / 2)}}, 2, 2},
+		{"of an earlier incarnation", map[string]accountant.Ticket{"one": {Text: "t", Life: "0", Until: good.Until}}, 0, 2},
+		{"expired", map[string]accountant.Ticket{"one": {Text: "t", Life: "1", Until: begin}}, 0, 2},
+		{"about to expire", map[string]accountant.Ticket{"one": {Text: "t", Life: "1", Until: begin.Add(ticketMargin / 2)}}, 2, 2},
 		{"refused", map[string]accountant.Ticket{"one": {Life: "1"}, "two": {Life: "1"}}, 0, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(specifier.Queue{Name: "q", Advised: true})
+			b := newFixture(specifier.Queue{Name: "q", Advised: true})
 			for _, name := range []string{"one", "two"} {
 				b.vm(name, "in", "r1", cores(8)).WorkerID = "i-" + name
 			}
@@ -39,19 +39,19 @@
 			}
 			for _, s := range starts {
 				if s.VM.Name != "one" || s.Ticket != "t" {
-					t.Errorf("a start on %s with ticket %q", s.VM.Name, s.Ticket)
+					t.Errorf("task starts on %s with ticket %q", s.VM.Name, s.Ticket)
 				}
 			}
 			q, ok := Ask(Input{Now: begin, State: b.state})
-			if ok != (tt.asks > 0) || len(q.VMs) != tt.asks {
-				t.Errorf("asks about %d VMs", len(q.VMs))
+			if ok != (tt.requested > 0) || len(q.VMs) != tt.requested {
+				t.Errorf("request names %d VMs", len(q.VMs))
 			}
 		})
 	}
 }
 
-func TestVMsThatWereRefusedAreAskedAboutLast(t *testing.T) {
-	b := newBed(specifier.Queue{Name: "q", Advised: true})
+func TestRefusedVMsComeLastInRequest(t *testing.T) {
+	b := newFixture(specifier.Queue{Name: "q", Advised: true})
 	for _, name := range []string{"one", "two"} {
 		b.vm(name, "in", "r1", cores(8)).WorkerID = "i-" + name
 	}
@@ -59,6 +59,6 @@
 	j.Occurrences[0].Steps[0].Tickets = map[string]accountant.Ticket{"one": {Life: "1"}}
 	q, _ := Ask(Input{Now: begin, State: b.state})
 	if len(q.VMs) != 2 || q.VMs[0].Name != "two" {
-		t.Errorf("asks about %v", q.VMs)
+		t.Errorf("request names %v", q.VMs)
 	}
 }
--- a/internal/job/planner/bench_test.go
+++ b/internal/job/planner/bench_test.go
@@ -10,13 +10,13 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// busyFleet is a fleet at its peak: five lasting, four filling and four urgent tasks on
-// each VM, a tenth as many jobs waiting as there are VMs, and the jobs that have ended
-// within the time that they are known.
-func busyFleet(vms int) (Input, *bed) {
-	b := newBed(specifier.Queue{Name: "q", Slack: 2, MaxFailures: 3, Priority: 2}, specifier.Queue{Name: "urgent", Slack: 1.5, MaxFailures: 4})
-	known := taught(map[string][]string{"l0": {"f0"}, "l1": {"f1", "f2"}, "l2": {"f3"}}, "f0", "f1", "f2", "f3", "f4", "f5")
-	work := func(j *accountant.Job, vm *accountant.VM) {
+// busyFleet returns a fleet at its peak: five long-running, four best-effort and four urgent
+// tasks on each VM, a tenth as many waiting jobs as VMs, and the ended jobs of the time for
+// which they are kept.
+func busyFleet(vms int) (Input, *fixture) {
+	b := newFixture(specifier.Queue{Name: "q", Slack: 2, MaxFailures: 3, Priority: 2}, specifier.Queue{Name: "urgent", Slack: 1.5, MaxFailures: 4})
+	known := trainedLearner(map[string][]string{"l0": {"f0"}, "l1": {"f1", "f2"}, "l2": {"f3"}}, "f0", "f1", "f2", "f3", "f4", "f5")
+	run := func(j *accountant.Job, vm *accountant.VM) {
 		for _, t := range j.Occurrences[0].Steps[0].Tasks {
 			r := b.state.Place(t, vm, 1, begin.Add(-time.Minute))
 			r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
@@ -25,11 +25,11 @@
 	for n := range vms {
 		vm := b.vm(fmt.Sprintf("vm-%03d", n), "in", fmt.Sprint("r", n/6), cores(64))
 		vm.SeenAt = begin
-		work(b.job("q", specifier.Step{Count: 5, Needs: cores(10), EstimateMillis: 500, Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)}), vm)
+		run(b.job("q", specifier.Step{Count: 5, Needs: cores(10), EstimateMillis: 500, Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)}), vm)
 		for image := range 4 {
-			work(b.job("q", specifier.Step{Count: 1, Needs: cores(6), EstimateMillis: 2200, Fills: true, Image: fmt.Sprint("f", (n+image)%6)}), vm)
+			run(b.job("q", specifier.Step{Count: 1, Needs: cores(6), EstimateMillis: 2200, Fills: true, Image: fmt.Sprint("f", (n+image)%6)}), vm)
 		}
-		work(b.job("urgent", specifier.Step{Count: 4, Needs: cores(1), EstimateMillis: 800}), vm)
+		run(b.job("urgent", specifier.Step{Count: 4, Needs: cores(1), EstimateMillis: 800}), vm)
 	}
 	for n := range 10 * vms {
 		j := b.job("urgent", specifier.Step{Count: 6, Needs: cores(1), EstimateMillis: 800})
@@ -44,8 +44,8 @@
 	return Input{Now: begin.Add(2 * time.Second), State: b.state, Learner: known}, b
 }
 
-// BenchmarkBacklog measures a round of placement while as many filling steps wait as
-// there are VMs, of images that are loud nearly everywhere, and some urgent ones start.
+// BenchmarkBacklog measures a placement round with as many waiting best-effort steps as VMs,
+// of images that interfere almost everywhere, and some urgent ones that start.
 func BenchmarkBacklog(b *testing.B) {
 	for _, vms := range []int{11, 52, 160, 300} {
 		in, fleet := busyFleet(vms)
@@ -67,7 +67,7 @@
 	}
 }
 
-// BenchmarkRound measures what the owner decides in one round, at four sizes of fleet.
+// BenchmarkRound measures the decisions of the owner in one round, at four fleet sizes.
 func BenchmarkRound(b *testing.B) {
 	parts := []struct {
 		name string
@@ -95,8 +95,9 @@
 	}
 }
 
-// BenchmarkFullFleet measures the rarer decisions on a fleet on which lasting tasks have set
-// all processors aside, while others of them and urgent ones wait for room.
+// BenchmarkFullFleet measures the less frequent decisions on a fleet where long-running tasks
+// have reserved all processors, while other long-running tasks and urgent ones wait for
+// capacity.
 func BenchmarkFullFleet(b *testing.B) {
 	parts := []struct {
 		name string
@@ -137,31 +138,32 @@
 	}
 }
 
-// BenchmarkMovesOfManyImages measures a look for moves where five tasks of 16 lasting images
-// are on each VM and steps of 30 filling ones wait, of which each is loud beside three.
+// BenchmarkMovesOfManyImages measures a search for moves with five tasks of 16 long-running
+// images on each VM and waiting steps of 30 best-effort images, each of which interferes with
+// three long-running images.
 func BenchmarkMovesOfManyImages(b *testing.B) {
-	const lastingImages, fillingImages = 16, 30
-	loud, fills := make(map[string][]string), make([]string, fillingImages)
-	for n := range fills {
-		fills[n] = fmt.Sprint("f", n)
+	const longRunningImages, bestEffortImages = 16, 30
+	interfering, images := make(map[string][]string), make([]string, bestEffortImages)
+	for n := range images {
+		images[n] = fmt.Sprint("f", n)
 		for k := range 3 {
-			image := fmt.Sprint("l", (n+5*k)%lastingImages)
-			loud[image] = append(loud[image], fills[n])
+			image := fmt.Sprint("l", (n+5*k)%longRunningImages)
+			interfering[image] = append(interfering[image], images[n])
 		}
 	}
-	known := taught(loud, fills...)
+	known := trainedLearner(interfering, images...)
 	for _, vms := range []int{11, 52, 160, 300} {
-		fleet := newBed(specifier.Queue{Name: "q", Slack: 2, MaxFailures: 3})
+		fleet := newFixture(specifier.Queue{Name: "q", Slack: 2, MaxFailures: 3})
 		for n := range vms {
 			vm := fleet.vm(fmt.Sprintf("vm-%03d", n), "in", fmt.Sprint("r", n/6), cores(64))
 			for k := range 5 {
-				j := fleet.job("q", specifier.Step{Count: 1, Needs: cores(10), Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", (n*7+k*3)%lastingImages)})
+				j := fleet.job("q", specifier.Step{Count: 1, Needs: cores(10), Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", (n*7+k*3)%longRunningImages)})
 				r := fleet.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin.Add(-time.Minute))
 				r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
 			}
 		}
-		for n := range fills {
-			fleet.job("q", specifier.Step{Count: 2 * vms, Needs: cores(4), EstimateMillis: 2200, Fills: true, Image: fills[n]})
+		for n := range images {
+			fleet.job("q", specifier.Step{Count: 2 * vms, Needs: cores(4), EstimateMillis: 2200, Fills: true, Image: images[n]})
 		}
 		in := Input{Now: begin.Add(2 * time.Second), State: fleet.state, Learner: known}
 		b.Run(fmt.Sprintf("vms-%d", vms), func(b *testing.B) {
--- a/internal/job/planner/copies_test.go
+++ b/internal/job/planner/copies_test.go
@@ -8,11 +8,11 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// copyBed has a step of one task of which copies may run, at work on vm-1, and room
-// on vm-2.
-func copyBed(t *testing.T, change func(*specifier.Step)) (*bed, *accountant.Task) {
+// newCopyFixture returns a step of one task that may have copies, running on vm-1, and free
+// capacity on vm-2.
+func newCopyFixture(t *testing.T, change func(*specifier.Step)) (*fixture, *accountant.Task) {
 	t.Helper()
-	b := newBed()
+	b := newFixture()
 	b.vm("vm-1", "in", "r1", cores(4))
 	spec := specifier.Step{Count: 1, Needs: cores(1), EstimateMillis: 1000, Copies: true}
 	if change != nil {
@@ -24,14 +24,15 @@
 	return b, j.Occurrences[0].Steps[0].Tasks[0]
 }
 
-func (b *bed) apply(starts []Start, now time.Time) {
+func (b *fixture) apply(starts []Start, now time.Time) {
 	for _, s := range starts {
 		b.state.Place(s.Task, s.VM, s.Number, now)
 	}
 }
 
-// progress lets vm-1 report its run with so much progress at so long after begin.
-func (b *bed) progress(percent int, after time.Duration) time.Time {
+// reportProgress applies a report of vm-1 with the given progress of its runs at a time after
+// begin.
+func (b *fixture) reportProgress(percent int, after time.Duration) time.Time {
 	vm := b.state.VMs["vm-1"]
 	rep := accountant.Report{Life: "1", Ready: true, OrdersSeen: vm.OrderSeq}
 	for key := range vm.Runs {
@@ -42,34 +43,34 @@
 	return now
 }
 
-// A caller's small batch ends seconds late. One of its tasks is on a worker that
-// turned slow, or on a VM that is not heard; nothing else fails, so nothing starts
-// it again. Where copies are allowed, one begins elsewhere; else it must not.
+// A small batch ends seconds late because one of its tasks is on a worker that has become
+// slow, or on a VM out of contact. Nothing fails, so nothing else would start it again. Where
+// copies are allowed, one starts on another VM; otherwise none may.
 func TestStragglersGetACopy(t *testing.T) {
 	tests := []struct {
-		name    string
-		step    func(*specifier.Step)
-		percent int
-		after   time.Duration
-		silent  bool
-		want    bool
+		name     string
+		step     func(*specifier.Step)
+		percent  int
+		after    time.Duration
+		detached bool
+		want     bool
 	}{
-		{"on its way", nil, 60, 600 * time.Millisecond, false, false},
+		{"on schedule", nil, 60, 600 * time.Millisecond, false, false},
 		{"a little slow", nil, 50, 800 * time.Millisecond, false, false},
-		{"just begun", nil, 1, 300 * time.Millisecond, false, false},
+		{"just started", nil, 1, 300 * time.Millisecond, false, false},
 		{"slow worker", nil, 20, 900 * time.Millisecond, false, true},
-		{"stands still", nil, 0, 900 * time.Millisecond, false, true},
+		{"stalled", nil, 0, 900 * time.Millisecond, false, true},
 		{"nearly done", nil, 90, 4 * time.Second, false, false},
-		{"VM not heard", nil, 50, 500 * time.Millisecond, true, true},
+		{"VM out of contact", nil, 50, 500 * time.Millisecond, true, true},
 		{"slow, no copies allowed", func(s *specifier.Step) { s.Copies = false }, 20, 900 * time.Millisecond, false, false},
-		{"VM not heard, no copies allowed", func(s *specifier.Step) { s.Copies = false }, 50, 500 * time.Millisecond, true, false},
+		{"VM out of contact, no copies allowed", func(s *specifier.Step) { s.Copies = false }, 50, 500 * time.Millisecond, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, task := copyBed(t, tt.step)
-			b.progress(0, 0)
-			now := b.progress(tt.percent, tt.after)
-			if tt.silent {
+			b, task := newCopyFixture(t, tt.step)
+			b.reportProgress(0, 0)
+			now := b.reportProgress(tt.percent, tt.after)
+			if tt.detached {
 				b.state.Detach(b.state.VMs["vm-1"])
 			}
 			starts := b.plan(now)
@@ -83,7 +84,7 @@
 				t.Errorf("copy %t on %s with number %d", s.Copy, s.VM.Name, s.Number)
 			}
 			b.apply(starts, now)
-			b.vm("vm-3", "in", "r3", cores(4)) // room for a third run, which would only repeat work
+			b.vm("vm-3", "in", "r3", cores(4)) // capacity for a third run, which would only repeat work
 			if again := b.plan(now); len(again) != 0 {
 				t.Errorf("%d more copies", len(again))
 			}
@@ -91,12 +92,12 @@
 	}
 }
 
-// The first of two copies that ends counts; the other one is stopped, and a failure
-// of one does not end what the other does.
+// The first of two copies that ends counts, and the other one is stopped. A failure of one
+// copy does not end the other.
 func TestFirstCopyCounts(t *testing.T) {
-	b, task := copyBed(t, nil)
-	b.progress(0, 0)
-	now := b.progress(10, 900*time.Millisecond)
+	b, task := newCopyFixture(t, nil)
+	b.reportProgress(0, 0)
+	now := b.reportProgress(10, 900*time.Millisecond)
 	b.apply(b.plan(now), now)
 	if len(task.Runs) != 2 {
 		t.Fatalf("%d runs", len(task.Runs))
@@ -114,33 +115,33 @@
 	}
 }
 
-// A task that may fail three times has failed twice: a copy beside its third run
-// could be a run beyond the last allowed failure.
-func TestNoCopyBeyondTheLastAttempt(t *testing.T) {
-	b, task := copyBed(t, nil)
+// A task with three allowed failures has failed twice: a copy of its third run could exceed
+// the limit.
+func TestNoCopyBeyondMaxFailures(t *testing.T) {
+	b, task := newCopyFixture(t, nil)
 	task.Failed = []int64{101, 102}
-	b.progress(0, 0)
-	if starts := b.plan(b.progress(10, 900*time.Millisecond)); len(starts) != 0 {
+	b.reportProgress(0, 0)
+	if starts := b.plan(b.reportProgress(10, 900*time.Millisecond)); len(starts) != 0 {
 		t.Error("a copy was started")
 	}
 }
 
-// A worker runs more tasks of a step than its job allows on one VM. One task of the step
-// straggles while another waits, and one VM has room: in one and the same round the first
-// would get a copy there and the second would start there too.
-func TestCopiesAndWaitingTasksShareTheLimitOfAVM(t *testing.T) {
-	b, slow := copyBed(t, func(s *specifier.Step) { s.Count, s.MaxPerVM = 2, 1 })
+// One task of a step is a straggler while another one waits, and one VM has free capacity. If
+// the same round gave the copy and the waiting task a place there, the VM would run more tasks
+// of the step than its job allows per VM.
+func TestCopiesAndWaitingTasksShareLimitPerVM(t *testing.T) {
+	b, slow := newCopyFixture(t, func(s *specifier.Step) { s.Count, s.MaxPerVM = 2, 1 })
 	waiting := slow.Step.Tasks[1]
 	if len(waiting.Runs) > 0 {
 		t.Fatal("both tasks run on one VM")
 	}
-	b.progress(1, 0)
-	now := b.progress(20, 900*time.Millisecond)
-	if !wantsCopy(slow, now) {
-		t.Fatal("the first task does not straggle")
+	b.reportProgress(1, 0)
+	now := b.reportProgress(20, 900*time.Millisecond)
+	if !needsCopy(slow, now) {
+		t.Fatal("the first task is not a straggler")
 	}
 	starts := b.plan(now)
 	if len(starts) != 1 || starts[0].Task != waiting || starts[0].VM.Name != "vm-2" {
-		t.Errorf("starts %v, want the waiting task on vm-2 and nothing else", places(starts))
+		t.Errorf("starts %v, want the waiting task on vm-2 and nothing else", vmsByTask(starts))
 	}
 }
--- /dev/null
+++ b/internal/job/planner/demand.go
@@ -0,0 +1,168 @@
+package planner
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/learner"
+)
+
+// The long-running tasks of a VM determine which best-effort images may use its idle
+// processors: an image that interferes with one of them is kept off the whole VM. If
+// long-running tasks are spread at random, each VM soon has one for every image that would
+// interfere with it, and best-effort tasks wait while most processors are idle.
+
+const (
+	// spareHeadroom is the headroom that a long-running task can lose on average before its VM
+	// admits no more best-effort tasks.
+	spareHeadroom = 0.85
+	// defaultUsableShare is the share of a VM's idle processors that a best-effort image is
+	// expected to use next to a long-running image without reports of the pair: one pair in
+	// five interferes strongly and leaves almost nothing.
+	defaultUsableShare = 0.75
+	// baselineDemand is the share of the fleet's idle processors that is assumed as demand of
+	// the best-effort images in any case, all of them together, so that images without present
+	// demand count too.
+	baselineDemand = 0.3
+)
+
+// demandModel holds the demand of each best-effort image and the shares of idle processors
+// that it may use.
+type demandModel struct {
+	images []string             // best-effort images, sorted
+	needs  []float64            // demand in thousandths of a core, by best-effort image
+	shares map[string][]float64 // by long-running image: the share of a VM's idle processors that each best-effort image may use
+	in     Input
+}
+
+func newDemandModel(in Input, idle float64) *demandModel {
+	needed := make(map[string]float64)
+	if in.Learner != nil {
+		for _, image := range in.Learner.BestEffortImages() {
+			needed[image] = 0
+		}
+	}
+	for _, s := range in.State.OpenSteps() {
+		if s.Spec.Fills && !s.Spec.Lasting {
+			needed[s.Spec.Image] += float64(len(s.Tasks)-s.Done) * float64(s.Spec.Needs.CPUMillis)
+		}
+	}
+	d := &demandModel{in: in, shares: make(map[string][]float64), images: slices.Sorted(maps.Keys(needed))}
+	for _, image := range d.images {
+		d.needs = append(d.needs, needed[image]+idle*baselineDemand/float64(len(needed)))
+	}
+	return d
+}
+
+// sharesNextTo returns the share of idle processors that each best-effort image may use next
+// to a long-running image.
+func (d *demandModel) sharesNextTo(longRunning string) []float64 {
+	shares, ok := d.shares[longRunning]
+	if !ok {
+		for _, bestEffort := range d.images {
+			shares = append(shares, usableShare(d.in.Learner, longRunning, bestEffort))
+		}
+		d.shares[longRunning] = shares
+	}
+	return shares
+}
+
+func usableShare(l *learner.Learner, longRunning, bestEffort string) float64 {
+	if l == nil {
+		return defaultUsableShare
+	}
+	effect, confidence := l.KnownEffect(longRunning, bestEffort)
+	known := min(spareHeadroom/max(effect, spareHeadroom), 1)
+	return confidence*known + (1-confidence)*defaultUsableShare
+}
+
+// imageCounts is the number of long-running tasks of each image on a VM.
+type imageCounts map[string]int
+
+func countImages(vm *accountant.VM) imageCounts {
+	c := make(imageCounts)
+	for _, run := range vm.Runs {
+		if s := run.Step().Spec; s.Lasting && run.State != accountant.Stopping {
+			c[s.Image]++
+		}
+	}
+	return c
+}
+
+func (c imageCounts) adjusted(image string, by int) imageCounts {
+	next := maps.Clone(c)
+	if next[image] += by; next[image] <= 0 {
+		delete(next, image)
+	}
+	return next
+}
+
+// usable returns how many thousandths of a core of a VM each best-effort image may use.
+func (d *demandModel) usable(m *vmState) []float64 {
+	idle := m.idle()
+	usable := make([]float64, len(d.images))
+	for i := range usable {
+		usable[i] = idle
+	}
+	for longRunning := range m.imageCounts() {
+		for i, share := range d.sharesNextTo(longRunning) {
+			usable[i] *= share
+		}
+	}
+	return usable
+}
+
+// served returns how much of the demand is met by the usable processors, summed over all
+// best-effort images. The gain of an image diminishes as more of its demand is met, so
+// processors are worth most to an image that has few.
+func (d *demandModel) served(usable []float64) float64 {
+	sum := 0.0
+	for i, need := range d.needs {
+		if need+usable[i] > 0 {
+			sum += need * usable[i] / (need + usable[i])
+		}
+	}
+	return sum
+}
+
+// addLongRunning adds a long-running task to a VM.
+func (m *vmState) addLongRunning(s *accountant.Step) {
+	m.images = m.imageCounts().adjusted(s.Spec.Image, 1)
+	m.free = m.free.Sub(s.Spec.Committed())
+	m.longRunning++
+	m.longRunningCPU += s.Spec.Needs.CPUMillis
+}
+
+// removeLongRunning removes a long-running task from a VM.
+func (m *vmState) removeLongRunning(s *accountant.Step) {
+	m.images = m.imageCounts().adjusted(s.Spec.Image, -1)
+	m.free = m.free.Add(s.Spec.Committed())
+	m.longRunning--
+	m.longRunningCPU -= s.Spec.Needs.CPUMillis
+}
+
+// servedLoss returns how much best-effort demand would no longer be served if a long-running
+// task started on a VM, rounded to whole cores, so that other criteria decide where the loss
+// is small.
+func (r *round) servedLoss(m *vmState, s *accountant.Step) float64 {
+	d := r.demandModel()
+	if len(d.images) == 0 {
+		return 0
+	}
+	joined := *m
+	joined.addLongRunning(s)
+	left := slices.Clone(r.fleetUsable)
+	addScaled(left, d.usable(m), -1)
+	addScaled(left, d.usable(&joined), 1)
+	return math.Round((r.fleetServed - d.served(left)) / millisPerCore)
+}
+
+const millisPerCore = 1000
+
+func addScaled(sum, values []float64, factor float64) {
+	for i, v := range values {
+		sum[i] += factor * v
+	}
+}
--- a/internal/job/planner/evict.go
+++ b/internal/job/planner/evict.go
@@ -7,75 +7,77 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Limits of evictions. They answer loads under which filling tasks stand nearly still
-// for the sake of lasting ones while another VM has room for them: lasting tasks came
-// to their VM, or the load of those beside them swung up. Held where they are, they keep its
-// memory from others too.
+// Limits of evictions. They cover loads under which best-effort tasks are throttled almost to
+// zero for long-running tasks while another VM has capacity for them: long-running tasks have
+// started on their VM, or the load of those on it has risen. Kept where they are, they would
+// also keep memory from other tasks.
 const (
-	// crawlPace is the pace in percent at which a filling run counts as standing nearly
-	// still.
-	crawlPace = 30
-	// crawlFor is how long it must do so: a swing of a report is over sooner.
-	crawlFor = 700 * time.Millisecond
-	// lostMost is how much work of a run an eviction may throw away: about what it
-	// would stand still for.
-	lostMost = time.Second
-	// evictionsMost bounds a round, so that a VM with room is not overrun.
-	evictionsMost = 8
+	// starvedPace is the pace in percent up to which a best-effort run counts as starved.
+	starvedPace = 30
+	// starvedFor is how long a run must be throttled that far: variations between reports are
+	// shorter.
+	starvedFor = 700 * time.Millisecond
+	// maxLostWork is how much work of a run an eviction may discard: about as much as the run
+	// would lose by being stalled.
+	maxLostWork = time.Second
+	// maxEvictions bounds a round, so that a VM with free capacity does not get too many tasks
+	// at once.
+	maxEvictions = 8
 )
 
-// Evictions returns the filling runs that should be stopped to go on elsewhere.
+// Evictions returns the best-effort runs to stop so that they continue on other VMs.
 func Evictions(in Input) []*accountant.Run {
 	r := newRound(in)
-	var crawling []*accountant.Run
+	var starvedRuns []*accountant.Run
 	for _, vm := range in.State.VMs {
 		for _, run := range vm.Runs {
-			if r.crawls(run) {
-				crawling = append(crawling, run)
+			if r.starved(run) {
+				starvedRuns = append(starvedRuns, run)
 			}
 		}
 	}
-	if len(crawling) == 0 {
+	if len(starvedRuns) == 0 {
 		return nil
 	}
-	slices.SortFunc(crawling, byLoss)
-	r.openRooms()
+	slices.SortFunc(starvedRuns, byLostWork)
+	r.loadVMs()
 	var evicted []*accountant.Run
-	for _, run := range crawling {
-		if len(evicted) == evictionsMost {
+	for _, run := range starvedRuns {
+		if len(evicted) == maxEvictions {
 			break
 		}
 		s := run.Step()
-		count := r.countOf(s)
+		count := r.runCounts(s)
 		to := r.choose(s, run.Task, count)
-		if to == nil || to.vm.Slow() || !to.quick(s) {
+		if to == nil || to.vm.Slow() || !to.hasIdleFor(s) {
 			continue
 		}
-		r.take(to, s.Spec)
+		r.assign(to, s.Spec)
 		count[to.vm]++
 		evicted = append(evicted, run)
 	}
 	return evicted
 }
 
-// crawls tells whether a run stands nearly still and little is lost by stopping it.
-func (r *round) crawls(run *accountant.Run) bool {
+// starved reports whether a run has been throttled almost to zero for long and a stop loses
+// little work.
+func (r *round) starved(run *accountant.Run) bool {
 	s := run.Step()
 	return s.Spec.Fills && !s.Spec.Gang && run.State == accountant.Running && run.VM.Attached &&
-		run.Pace != accountant.PaceUnknown && run.Pace <= crawlPace && r.now.Sub(run.PacedAt) >= crawlFor &&
-		len(run.Task.Runs) == 1 && lostBy(run) <= lostMost
+		run.Pace != accountant.PaceUnknown && run.Pace <= starvedPace && r.now.Sub(run.PacedAt) >= starvedFor &&
+		len(run.Task.Runs) == 1 && lostWork(run) <= maxLostWork
 }
 
-// lostBy is how much of a run's work a stop throws away.
-func lostBy(run *accountant.Run) time.Duration {
+// lostWork is how much of a run's work a stop discards.
+func lostWork(run *accountant.Run) time.Duration {
 	if run.Step().Spec.Checkpoints {
 		return 0
 	}
 	return run.Step().Spec.Estimate() * time.Duration(run.Progress) / paceFull
 }
 
-func byLoss(a, b *accountant.Run) int {
-	if d := lostBy(a) - lostBy(b); d != 0 {
+func byLostWork(a, b *accountant.Run) int {
+	if d := lostWork(a) - lostWork(b); d != 0 {
 		return int(d)
 	}
 	if a.Key().Less(b.Key()) {
@@ -84,7 +86,8 @@
 	return 1
 }
 
-// quick tells whether a filling task would get most of the processors that it asks for.
-func (m *room) quick(s *accountant.Step) bool {
-	return float64(m.fillCPU+s.Spec.Needs.CPUMillis) <= m.idle()
+// hasIdleFor reports whether a best-effort task would get most of the processors that it asks
+// for.
+func (m *vmState) hasIdleFor(s *accountant.Step) bool {
+	return float64(m.bestEffortCPU+s.Spec.Needs.CPUMillis) <= m.idle()
 }
--- a/internal/job/planner/explain.go
+++ b/internal/job/planner/explain.go
@@ -8,7 +8,7 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Explain tells why tasks of a step wait.
+// Explain returns why tasks of a step wait.
 func Explain(in Input, s *accountant.Step) string {
 	j := s.Occurrence.Job
 	switch {
@@ -19,12 +19,12 @@
 	case !j.SettlesAt.IsZero():
 		return "an earlier owner may have started it on a VM that has not reported yet"
 	case j.Queue.Name == "":
-		return "no fleet text has the queue " + j.Spec.Queue
+		return "the fleet text does not define the queue " + j.Spec.Queue
 	}
 	counts := make(map[string]int)
 	r := newRound(in)
 	for _, vm := range in.State.VMs {
-		counts[r.objection(in, vm, s)]++
+		counts[r.rejectReason(in, vm, s)]++
 	}
 	if len(counts) == 0 {
 		return "no VM has reported"
@@ -37,35 +37,35 @@
 	return strings.Join(parts, ", ")
 }
 
-// objection tells why a VM does not take a task of the step now.
-func (r *round) objection(in Input, vm *accountant.VM, s *accountant.Step) string {
+// rejectReason returns why a VM does not accept a task of the step now.
+func (r *round) rejectReason(in Input, vm *accountant.VM, s *accountant.Step) string {
 	switch {
 	case !vm.Attached:
-		return "not reached"
+		return "not connected"
 	case !vm.Ready:
-		return "leaving or silent"
+		return "draining or out of contact"
 	case !vm.Sized():
 		return "with a run of unknown size"
 	case vm.Quarantined(in.Now):
 		return "quarantined"
 	case in.State.Policy().ZonesOut[vm.Zone]:
-		return "in a zone that is out"
+		return "in an availability zone that is out of service"
 	case !s.Occurrence.Job.Queue.RunsOn(vm.Service):
 		return "of another service"
 	case s.Spec.Label != "" && !vm.Labels[s.Spec.Label]:
 		return "without the label " + s.Spec.Label
 	}
 	if _, ok := s.TicketFor(vm, in.Now); s.Occurrence.Job.Queue.Advised && !ok {
-		return "without a ticket of the advising service"
+		return "without a ticket from the advising service"
 	}
-	m := newRoom(vm, in.Now)
+	m := newVMState(vm, in.Now)
 	switch {
 	case !m.free.Fits(s.Spec.Committed()):
 		return "without room"
-	case !m.admits(s, perVM(s)[vm]):
-		return "with enough tasks of the step or of filling tasks"
-	case s.Spec.Fills && r.disturbance(m, s).least < headroomLeast:
-		return "where it would disturb lasting tasks"
+	case !m.admits(s, runsPerVM(s)[vm]):
+		return "at the limit for tasks of the step or for best-effort tasks"
+	case s.Spec.Fills && r.interference(m, s).leastHeadroom < minHeadroom:
+		return "where it would interfere with long-running tasks"
 	}
 	return "with room"
 }
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -9,97 +9,97 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Limits of moves of lasting tasks. They answer a load of filling tasks that wait while
-// processors stand idle, because each VM holds some lasting task that they would
-// disturb: nothing was known of the images when the lasting tasks were placed.
+// Limits of moves of long-running tasks. Moves cover a load of best-effort tasks that wait
+// while processors are idle, because each VM has some long-running task that they would
+// interfere with: nothing was known of the images when the long-running tasks were placed.
 const (
-	// moveGain is how many thousandths of a core more each lasting task that moves must
-	// give to filling tasks: it is away for some 2 s, and its users with it.
-	moveGain = 2500.0
-	// moveRest is how long a lasting task must have run before it moves.
-	moveRest = 6 * time.Second
-	// movesMost is how many lasting tasks may be away at once by one move. Where movesShare
-	// of all of them is more, so many may be away by moves beside each other: a large fleet
-	// would take minutes to arrange itself one move at a time, and its filling tasks wait
-	// meanwhile.
-	movesMost  = 6
-	movesShare = 0.03
-	// blockedFor is how long a filling step must wait before lasting tasks move for it:
-	// a shorter wait ends by itself.
-	blockedFor = time.Second
-	// closedLooked is how many VMs a round tries to open at most, and pairsLooked with how many
-	// others all together, so that a round costs about the same on any fleet.
-	closedLooked = 12
-	pairsLooked  = 320
-	// moveLimit is how long after its hold a task that moves is waited for before others
-	// may move.
-	moveLimit = 3 * time.Second
-	// MoveHold is how long after its end a task that moves waits for room on the VM that it
-	// moves to.
+	// minMoveGain is how many thousandths of a core best-effort tasks must gain for each
+	// long-running task that moves: the task is unavailable to its users for some 2 s.
+	minMoveGain = 2500.0
+	// minRunTime is how long a long-running task must have run before it moves.
+	minRunTime = 6 * time.Second
+	// maxMoving is how many long-running tasks may be unavailable at once by one move. If
+	// maxMovingShare of all long-running tasks is more, that many may be unavailable by
+	// concurrent moves: rearranged one move at a time, a large fleet would take minutes while
+	// its best-effort tasks wait.
+	maxMoving      = 6
+	maxMovingShare = 0.03
+	// minBlockedTime is how long a step must wait before long-running tasks move for it: a
+	// shorter wait ends by itself.
+	minBlockedTime = time.Second
+	// maxVMsExamined bounds the VMs for which a round examines moves, and maxPairsExamined
+	// their pairs with other VMs in total, so that a round costs about the same on any fleet.
+	maxVMsExamined   = 12
+	maxPairsExamined = 320
+	// moveTimeout is how long after the end of its hold a moving task is waited for before
+	// others may move.
+	moveTimeout = 3 * time.Second
+	// MoveHold is how long capacity on the destination VM is held for a moving task after its
+	// run has ended.
 	MoveHold = 1500 * time.Millisecond
 )
 
-// Move is a lasting run that should start anew on another VM.
+// Move is a long-running run that should be stopped and started again on another VM.
 type Move struct {
 	Run  *accountant.Run
 	To   *accountant.VM
-	For  *accountant.Step // that gets the room; nil: filling tasks do
-	Gain float64          // thousandths of a core given to filling tasks, for each run that moves now
+	For  *accountant.Step // step that gets the capacity; nil if best-effort tasks do
+	Gain float64          // thousandths of a core gained by best-effort tasks, per run of the move
 }
 
-// Moving returns what is noted of the task of a move.
+// Moving returns the record of the move to store in its task.
 func (m Move) Moving(now time.Time) accountant.Moving {
 	return accountant.Moving{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: MoveHold, Until: now.Add(MoveHold)}
 }
 
-// group is the lasting runs of one image on a VM. They leave together: one that stays
-// keeps out the same filling images.
+// group is the long-running runs of one image on a VM. They move together: any one that stayed
+// would keep off the same best-effort images.
 type group struct {
-	room  *room
-	image string // empty: no run
-	runs  []*accountant.Run
-	cpu   int64     // that the runs set aside, in thousandths of a core
-	rest  []float64 // share of the VM's idle processors open to each filling image without it
+	host      *vmState
+	image     string // empty if there is no run
+	runs      []*accountant.Run
+	cpu       int64     // reserved by the runs, in thousandths of a core
+	remaining []float64 // share of the VM's idle processors usable by each best-effort image without the group
 }
 
-// mover looks for the change of places that gives filling tasks most.
+// mover searches for the exchange of long-running tasks that gains most for best-effort tasks.
 type mover struct {
 	*round
-	offer  *outlook
-	opened map[*room][]float64 // open to each filling image as things are
-	idle   map[*room]float64   // thousandths of a core
-	groups map[*room][]group
-	moves  []Move    // the best found so far
-	most   int       // lasting tasks that may move
-	a, b   []float64 // open on the two VMs of an exchange that is weighed
+	model              *demandModel
+	usableNow          map[*vmState][]float64 // usable by each best-effort image at present
+	idle               map[*vmState]float64   // thousandths of a core
+	groups             map[*vmState][]group
+	moves              []Move    // the best found so far
+	limit              int       // long-running tasks that may move
+	scratchA, scratchB []float64 // usable on the two VMs of the exchange under evaluation
 }
 
-// Moves returns the lasting runs to move now: one that makes room for a lasting task that
-// finds none, or all of one image from a VM to another, against all of one image from
-// there or against none.
+// Moves returns the long-running runs to move now: either one that makes room for a
+// long-running task that fits on no VM, or all of one image from a VM to another, possibly in
+// exchange for all of one image from there.
 func Moves(in Input) []Move {
-	on := underway(in)
-	if on.away >= on.most || on.away > 0 && on.most == movesMost {
+	ongoing := findMovesInProgress(in)
+	if ongoing.unavailable >= ongoing.limit || ongoing.unavailable > 0 && ongoing.limit == maxMoving {
 		return nil
 	}
-	in.Memory = nil // moves are few and must rest on what is true now
+	in.Memory = nil // moves are rare and must be based on the present state
 	r := newRound(in)
-	r.openRooms()
-	r.placeOverdue(in.State.WaitingSteps(in.Now)) // what they get or wait for is no room to move to
-	if moves := r.roomForLasting(on); len(moves) > 0 {
+	r.loadVMs()
+	r.placeOverdue(in.State.WaitingSteps(in.Now)) // capacity that these get or wait for is not available to moves
+	if moves := r.moveForLongRunning(ongoing); len(moves) > 0 {
 		return moves
 	}
-	if r.claimed > 0 || !r.fillsBlocked() {
+	if r.reservationsRequested > 0 || !r.bestEffortBlocked() {
 		return nil
 	}
 	m := newMover(r)
-	m.most = on.most - on.away
-	seen := make(map[*room]bool)
-	for _, a := range m.closedMost(on) {
+	m.limit = ongoing.limit - ongoing.unavailable
+	seen := make(map[*vmState]bool)
+	for _, a := range m.mostBlockedVMs(ongoing) {
 		seen[a] = true
-		for _, b := range r.rooms {
-			if !seen[b] && !on.vms[b.vm.Name] {
-				m.compare(a, b)
+		for _, b := range r.vmStates {
+			if !seen[b] && !ongoing.vms[b.vm.Name] {
+				m.evaluatePair(a, b)
 			}
 		}
 	}
@@ -107,51 +107,52 @@
 }
 
 func newMover(r *round) *mover {
-	m := &mover{round: r, offer: r.outlook(), opened: make(map[*room][]float64), idle: make(map[*room]float64), groups: make(map[*room][]group)}
-	m.a, m.b = make([]float64, len(m.offer.fills)), make([]float64, len(m.offer.fills))
-	for _, room := range r.rooms {
-		m.opened[room], m.idle[room] = m.offer.open(room), room.idle()
-		m.groups[room] = m.groupsOf(room)
+	m := &mover{round: r, model: r.demandModel(), usableNow: make(map[*vmState][]float64), idle: make(map[*vmState]float64), groups: make(map[*vmState][]group)}
+	m.scratchA, m.scratchB = make([]float64, len(m.model.images)), make([]float64, len(m.model.images))
+	for _, host := range r.vmStates {
+		m.usableNow[host], m.idle[host] = m.model.usable(host), host.idle()
+		m.groups[host] = m.movableGroups(host)
 	}
 	return m
 }
 
-// closedMost returns the VMs that keep most idle processors from the filling images that
-// want them, so that a round costs about the same on any fleet.
-func (m *mover) closedMost(on motion) []*room {
-	closed := make(map[*room]float64, len(m.rooms))
-	var rooms []*room
-	for _, room := range m.rooms {
-		if on.vms[room.vm.Name] {
+// mostBlockedVMs returns the VMs with the most idle processors that best-effort images have
+// demand for but may not use. Their number is limited, so that a round costs about the same on
+// any fleet.
+func (m *mover) mostBlockedVMs(ongoing movesInProgress) []*vmState {
+	blockedIdle := make(map[*vmState]float64, len(m.vmStates))
+	var vmStates []*vmState
+	for _, host := range m.vmStates {
+		if ongoing.vms[host.vm.Name] {
 			continue
 		}
-		rooms = append(rooms, room)
-		idle := room.idle()
-		for i, open := range m.opened[room] {
-			closed[room] += m.offer.needs[i] * (idle - open)
+		vmStates = append(vmStates, host)
+		idle := host.idle()
+		for i, usable := range m.usableNow[host] {
+			blockedIdle[host] += m.model.needs[i] * (idle - usable)
 		}
 	}
-	slices.SortStableFunc(rooms, func(a, b *room) int { return cmp.Compare(closed[b], closed[a]) })
-	most := min(closedLooked, max(pairsLooked/max(len(rooms), 1), 1))
-	return rooms[:min(len(rooms), most)]
+	slices.SortStableFunc(vmStates, func(a, b *vmState) int { return cmp.Compare(blockedIdle[b], blockedIdle[a]) })
+	limit := min(maxVMsExamined, max(maxPairsExamined/max(len(vmStates), 1), 1))
+	return vmStates[:min(len(vmStates), limit)]
 }
 
-// compare looks at all exchanges between two VMs.
-func (m *mover) compare(a, b *room) {
+// evaluatePair evaluates all exchanges between two VMs.
+func (m *mover) evaluatePair(a, b *vmState) {
 	for _, g := range m.groups[a] {
 		for _, h := range m.groups[b] {
 			if g.image != h.image {
-				m.exchange(g, h)
+				m.evaluateExchange(g, h)
 			}
 		}
 	}
 }
 
-// groupsOf returns the groups of a VM that may move, and an empty one.
-func (m *mover) groupsOf(r *room) []group {
-	groups := []group{{room: r, rest: m.restOf(r, "")}}
-	for _, image := range slices.Sorted(maps.Keys(r.company())) {
-		g := group{room: r, image: image, runs: runsOf(r.vm, image), rest: m.restOf(r, image)}
+// movableGroups returns the groups of a VM that may move, and an empty one.
+func (m *mover) movableGroups(r *vmState) []group {
+	groups := []group{{host: r, remaining: m.usableWithout(r, "")}}
+	for _, image := range slices.Sorted(maps.Keys(r.imageCounts())) {
+		g := group{host: r, image: image, runs: longRunningRunsOf(r.vm, image), remaining: m.usableWithout(r, image)}
 		for _, run := range g.runs {
 			g.cpu += run.Step().Spec.Needs.CPUMillis
 		}
@@ -162,93 +163,94 @@
 	return groups
 }
 
-// exchange takes two groups changing places for the best found so far if it is better.
-func (m *mover) exchange(g, h group) {
+// evaluateExchange makes the exchange of two groups the best move found so far if its gain is
+// larger.
+func (m *mover) evaluateExchange(g, h group) {
 	count := len(g.runs) + len(h.runs)
-	if count == 0 || count > min(movesMost, m.most) {
+	if count == 0 || count > min(maxMoving, m.limit) {
 		return
 	}
 	gain := m.gain(g, h) / float64(count)
-	if gain < moveGain || len(m.moves) > 0 && gain <= m.moves[0].Gain {
+	if gain < minMoveGain || len(m.moves) > 0 && gain <= m.moves[0].Gain {
 		return
 	}
-	if !apart(g.runs, h.runs) || !fits(g, h) || !fits(h, g) {
+	if !withinMaxAway(g.runs, h.runs) || !fits(g, h) || !fits(h, g) {
 		return
 	}
 	m.moves = nil
 	for _, run := range g.runs {
-		m.moves = append(m.moves, Move{Run: run, To: h.room.vm, Gain: gain})
+		m.moves = append(m.moves, Move{Run: run, To: h.host.vm, Gain: gain})
 	}
 	for _, run := range h.runs {
-		m.moves = append(m.moves, Move{Run: run, To: g.room.vm, Gain: gain})
+		m.moves = append(m.moves, Move{Run: run, To: g.host.vm, Gain: gain})
 	}
 }
 
-// gain is how many thousandths of a core more filling images would get.
+// gain returns how many thousandths of a core best-effort images would gain by an exchange.
 func (m *mover) gain(g, h group) float64 {
-	m.openAfter(m.a, g, h)
-	m.openAfter(m.b, h, g)
-	for i := range m.a { // of the whole fleet, in place
-		m.a[i] += m.all[i] + m.b[i] - m.opened[g.room][i] - m.opened[h.room][i]
+	m.usableAfter(m.scratchA, g, h)
+	m.usableAfter(m.scratchB, h, g)
+	for i := range m.scratchA { // total of the fleet, in place
+		m.scratchA[i] += m.fleetUsable[i] + m.scratchB[i] - m.usableNow[g.host][i] - m.usableNow[h.host][i]
 	}
-	return m.offer.served(m.a) - m.base
+	return m.model.served(m.scratchA) - m.fleetServed
 }
 
-// restOf returns what share of a VM's idle processors is open to each filling image beside
-// all lasting images on it but one.
-func (m *mover) restOf(r *room, without string) []float64 {
-	rest := make([]float64, len(m.offer.fills))
-	for i := range rest {
-		rest[i] = 1
+// usableWithout returns the share of a VM's idle processors that each best-effort image may
+// use next to all long-running images there except one.
+func (m *mover) usableWithout(r *vmState, without string) []float64 {
+	remaining := make([]float64, len(m.model.images))
+	for i := range remaining {
+		remaining[i] = 1
 	}
-	for image := range r.company() {
+	for image := range r.imageCounts() {
 		if image == without {
 			continue
 		}
-		for i, share := range m.offer.sharesBeside(image) {
-			rest[i] *= share
+		for i, share := range m.model.sharesNextTo(image) {
+			remaining[i] *= share
 		}
 	}
-	return rest
+	return remaining
 }
 
-// openAfter works out what is open on the VM of a group once it has left and another
-// group has come.
-func (m *mover) openAfter(open []float64, leaves, comes group) {
-	idle := m.idle[leaves.room] + float64(leaves.cpu-comes.cpu)*lastingUse
-	if comes.image == "" || leaves.room.company()[comes.image] > 0 {
-		for i, rest := range leaves.rest {
-			open[i] = idle * rest
+// usableAfter computes the processors usable on the VM of a group that leaves once another
+// group has arrived.
+func (m *mover) usableAfter(usable []float64, leaving, arriving group) {
+	idle := m.idle[leaving.host] + float64(leaving.cpu-arriving.cpu)*longRunningUtilization
+	if arriving.image == "" || leaving.host.imageCounts()[arriving.image] > 0 {
+		for i, remaining := range leaving.remaining {
+			usable[i] = idle * remaining
 		}
 		return
 	}
-	shares := m.offer.sharesBeside(comes.image)
-	for i, rest := range leaves.rest {
-		open[i] = idle * rest * shares[i]
+	shares := m.model.sharesNextTo(arriving.image)
+	for i, remaining := range leaving.remaining {
+		usable[i] = idle * remaining * shares[i]
 	}
 }
 
-// fits tells whether a group may come to the VM of another one that leaves it.
-func fits(comes, leaves group) bool {
-	to := *leaves.room
-	for _, run := range leaves.runs {
-		to.leave(run.Step())
+// fits reports whether a group may run on the VM of another group that leaves it.
+func fits(arriving, leaving group) bool {
+	to := *leaving.host
+	for _, run := range leaving.runs {
+		to.removeLongRunning(run.Step())
 	}
 	joined := make(map[*accountant.Step]int)
-	for _, run := range comes.runs {
+	for _, run := range arriving.runs {
 		s := run.Step()
-		if to.vm.Slow() || run.Task.Shunned[to.vm.Name] || !to.admits(s, perVM(s)[to.vm]+joined[s]) {
+		if to.vm.Slow() || run.Task.Shunned[to.vm.Name] || !to.admits(s, runsPerVM(s)[to.vm]+joined[s]) {
 			return false
 		}
-		to.join(s)
+		to.addLongRunning(s)
 		joined[s]++
 	}
 	return true
 }
 
-// apart tells whether no step with a bound on tasks that are away would have more of
-// them away by the exchange.
-func apart(lists ...[]*accountant.Run) bool {
+// withinMaxAway reports whether the runs can stop together without any step exceeding its
+// limit of unavailable tasks.
+func withinMaxAway(lists ...[]*accountant.Run) bool {
 	moving := make(map[*accountant.Step]int)
 	for _, runs := range lists {
 		for _, run := range runs {
@@ -261,27 +263,27 @@
 	return true
 }
 
-// fillsBlocked tells whether filling tasks wait.
-func (r *round) fillsBlocked() bool {
+// bestEffortBlocked reports whether best-effort tasks have waited too long.
+func (r *round) bestEffortBlocked() bool {
 	for _, s := range r.in.State.WaitingSteps(r.now) {
-		if s.Spec.Fills && !s.Spec.Lasting && r.now.Sub(s.ReadyAt) > blockedFor {
+		if s.Spec.Fills && !s.Spec.Lasting && r.now.Sub(s.ReadyAt) > minBlockedTime {
 			return true
 		}
 	}
 	return false
 }
 
-// motion is the moves under way.
-type motion struct {
-	away, most int                       // lasting tasks that are away by moves, and that may be
-	vms        map[string]bool           // that take part
-	steps      map[*accountant.Step]bool // that get the room
+// movesInProgress is the moves that have not been completed.
+type movesInProgress struct {
+	unavailable, limit int                       // long-running tasks that are unavailable by moves, and the maximum
+	vms                map[string]bool           // VMs that take part
+	steps              map[*accountant.Step]bool // steps that get the capacity
 }
 
-// underway returns the moves whose tasks are not at work yet. One that waits for room for
-// long holds up no other.
-func underway(in Input) motion {
-	on := motion{vms: make(map[string]bool), steps: make(map[*accountant.Step]bool)}
+// findMovesInProgress returns the moves whose tasks are not running yet. A task that waits for
+// capacity for long does not block other moves.
+func findMovesInProgress(in Input) movesInProgress {
+	ongoing := movesInProgress{vms: make(map[string]bool), steps: make(map[*accountant.Step]bool)}
 	all := 0
 	for _, s := range in.State.OpenSteps() {
 		if !s.Spec.Lasting {
@@ -289,27 +291,27 @@
 		}
 		all += len(s.Tasks)
 		for _, t := range s.Tasks {
-			if t.Moves.To == "" || !in.Now.Before(t.Moves.Until.Add(moveLimit)) || !t.Away() {
+			if t.Moves.To == "" || !in.Now.Before(t.Moves.Until.Add(moveTimeout)) || !t.Away() {
 				continue
 			}
-			on.away++
-			on.vms[t.Moves.From], on.vms[t.Moves.To] = true, true
+			ongoing.unavailable++
+			ongoing.vms[t.Moves.From], ongoing.vms[t.Moves.To] = true, true
 			if t.Moves.For != nil {
-				on.steps[t.Moves.For] = true
+				ongoing.steps[t.Moves.For] = true
 			}
 		}
 	}
-	on.most = max(movesMost, int(movesShare*float64(all)))
-	return on
+	ongoing.limit = max(maxMoving, int(maxMovingShare*float64(all)))
+	return ongoing
 }
 
-// runsOf returns the lasting runs of an image on a VM.
-func runsOf(vm *accountant.VM, image string) []*accountant.Run {
-	return slices.DeleteFunc(lastingRuns(vm), func(run *accountant.Run) bool { return run.Step().Spec.Image != image })
+// longRunningRunsOf returns the long-running runs of an image on a VM.
+func longRunningRunsOf(vm *accountant.VM, image string) []*accountant.Run {
+	return slices.DeleteFunc(longRunningRuns(vm), func(run *accountant.Run) bool { return run.Step().Spec.Image != image })
 }
 
-// lastingRuns returns the lasting runs of a VM in the order of their names.
-func lastingRuns(vm *accountant.VM) []*accountant.Run {
+// longRunningRuns returns the long-running runs of a VM, sorted by key.
+func longRunningRuns(vm *accountant.VM) []*accountant.Run {
 	var runs []*accountant.Run
 	for _, run := range vm.Runs {
 		if run.Step().Spec.Lasting && run.State != accountant.Stopping {
@@ -325,11 +327,11 @@
 	return runs
 }
 
-// mayMove tells whether a lasting run has been at work long enough, and whether the users
-// of its step let it be away.
+// mayMove reports whether a long-running run has been running long enough, and whether its
+// step's limit of unavailable tasks allows it to stop.
 func (r *round) mayMove(run *accountant.Run) bool {
 	if s := run.Step(); s.Spec.MaxAway > 0 && s.Away() > 0 {
 		return false
 	}
-	return run.State == accountant.Running && run.Progress >= paceFull && !run.Step().Spec.Gang && r.now.Sub(run.StartedAt) >= moveRest
+	return run.State == accountant.Running && run.Progress >= paceFull && !run.Step().Spec.Gang && r.now.Sub(run.StartedAt) >= minRunTime
 }
--- a/internal/job/planner/move_test.go
+++ b/internal/job/planner/move_test.go
@@ -11,38 +11,39 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// taught is a learner that knows which filling images are loud beside which lasting ones.
-func taught(loud map[string][]string, fills ...string) *learner.Learner {
+// trainedLearner returns a learner that has observed which best-effort images interfere with
+// which long-running images.
+func trainedLearner(interfering map[string][]string, images ...string) *learner.Learner {
 	l := learner.New()
 	for n := range 40 {
 		at := begin.Add(time.Duration(n-40) * 300 * time.Millisecond)
-		for lasting, louds := range loud {
-			l.Observe(learner.Observation{Group: lasting, Image: lasting, Headroom: 2.4, At: at})
-			for _, fill := range fills {
+		for longRunning, interferingImages := range interfering {
+			l.Observe(learner.Observation{Group: longRunning, Image: longRunning, Headroom: 2.4, At: at})
+			for _, bestEffort := range images {
 				effect := 0.8
-				for _, image := range louds {
-					if image == fill {
+				for _, image := range interferingImages {
+					if image == bestEffort {
 						effect = 10
 					}
 				}
-				l.Observe(learner.Observation{Group: lasting, Image: lasting, Headroom: 2.4 - 0.1*effect, Use: learner.Use{fill: 0.1}, At: at})
+				l.Observe(learner.Observation{Group: longRunning, Image: longRunning, Headroom: 2.4 - 0.1*effect, Use: learner.Use{bestEffort: 0.1}, At: at})
 			}
 		}
 	}
 	return l
 }
 
-// mixedFleet is a fleet on which every VM holds one lasting task of each of two images,
-// at work for long, as they come to stand while nothing is known of them.
+// mixedFleet is a fleet on which every VM has run one long-running task of each of two images
+// for a long time, as placed while no effects of the images were known.
 type mixedFleet struct {
-	*bed
+	*fixture
 	vms     []*accountant.VM
 	jobs    []*accountant.Job
 	learner *learner.Learner
 }
 
 func newMixedFleet(count int) *mixedFleet {
-	f := &mixedFleet{bed: newBed(), learner: taught(map[string][]string{"a": {"x"}, "b": {"y"}}, "x", "y")}
+	f := &mixedFleet{fixture: newFixture(), learner: trainedLearner(map[string][]string{"a": {"x"}, "b": {"y"}}, "x", "y")}
 	for _, image := range []string{"a", "b"} {
 		f.jobs = append(f.jobs, f.job("q", specifier.Step{Count: count, Needs: cores(12), Lasting: true, TailMillis: 18, Image: image}))
 	}
@@ -50,20 +51,20 @@
 		vm := f.vm(string(rune('1'+n)), "in", "r1", cores(32))
 		f.vms = append(f.vms, vm)
 		for _, j := range f.jobs {
-			f.work(j.Occurrences[0].Steps[0].Tasks[n], vm)
+			f.run(j.Occurrences[0].Steps[0].Tasks[n], vm)
 		}
 	}
 	return f
 }
 
-// work lets a task be at work on a VM.
-func (f *mixedFleet) work(t *accountant.Task, vm *accountant.VM) {
+// run places a task on a VM as running.
+func (f *mixedFleet) run(t *accountant.Task, vm *accountant.VM) {
 	r := f.state.Place(t, vm, f.state.NextNumber(t), begin.Add(-time.Minute))
 	r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
 }
 
-// wait lets filling tasks of an image wait.
-func (f *mixedFleet) wait(image string) *accountant.Job {
+// submitBestEffort adds a job of waiting best-effort tasks of an image.
+func (f *mixedFleet) submitBestEffort(image string) *accountant.Job {
 	return f.job("q", specifier.Step{Count: 8, Needs: cores(4), EstimateMillis: 2000, Fills: true, Image: image})
 }
 
@@ -73,7 +74,7 @@
 
 // fail ends a run of the first VM.
 func (f *mixedFleet) fail() *accountant.Task {
-	r := lastingRuns(f.vms[0])[0]
+	r := longRunningRuns(f.vms[0])[0]
 	f.state.EndRun(f.vms[0], r.Key(), accountant.EndFailed, "", begin)
 	return r.Task
 }
@@ -83,18 +84,18 @@
 	for _, m := range moves {
 		t := m.Run.Task
 		f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
-		f.work(t, m.To)
+		f.run(t, m.To)
 	}
 }
 
-// Filling jobs wait for ever while the VMs are half idle: each VM holds one lasting task
-// that x would disturb and one that y would. The lasting tasks change places until there
-// are VMs open to x and others open to y, and then stay where they are.
-func TestLastingTasksMakeRoomForFillingOnes(t *testing.T) {
+// Guards against best-effort jobs that wait forever while the VMs are half idle: each VM has
+// one long-running task that x would interfere with and one that y would. The long-running
+// tasks are exchanged until some VMs are available to x and others to y, and then stay.
+func TestLongRunningTasksMoveForBestEffort(t *testing.T) {
 	f := newMixedFleet(4)
-	f.wait("x")
-	f.wait("y")
-	open := func() map[string]int { // VMs on which each image starts
+	f.submitBestEffort("x")
+	f.submitBestEffort("y")
+	countVMs := func() map[string]int { // VMs on which each image starts
 		vms := make(map[string]map[string]bool)
 		count := make(map[string]int)
 		for _, s := range Plan(Input{Now: begin, State: f.state, Learner: f.learner}) {
@@ -107,7 +108,7 @@
 		}
 		return count
 	}
-	before := open()
+	before := countVMs()
 	for range 8 {
 		moves := f.moves()
 		if len(moves) == 0 {
@@ -116,9 +117,9 @@
 		f.move(moves)
 	}
 	if got := f.moves(); len(got) != 0 {
-		t.Errorf("%d lasting tasks still move", len(got))
+		t.Errorf("%d long-running tasks still move", len(got))
 	}
-	after := open()
+	after := countVMs()
 	for _, image := range []string{"x", "y"} {
 		if before[image] != 0 || after[image] != len(f.vms)/2 {
 			t.Errorf("%s starts on %d VMs, on %d before the moves", image, after[image], before[image])
@@ -131,17 +132,17 @@
 	}
 }
 
-// A lasting task that moves is away for some two seconds, and its users with it. It must
-// not move for nothing, before it has worked for a while, nor while another one moves.
-// One that finds no room for long, or fails, holds up no move, unless the users of its
-// job let none of the others be away.
-func TestWhenLastingTasksStay(t *testing.T) {
+// A long-running task that moves is unavailable to its users for some two seconds. It must not
+// move without need, before it has run for a while, or during another move. A task that finds
+// no capacity for long, or fails, blocks no move, unless the limit of its step allows no other
+// task to be unavailable.
+func TestWhenLongRunningTasksMove(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(f *mixedFleet)
 		moves  bool
 	}{
-		{"filling tasks wait", func(*mixedFleet) {}, true},
+		{"best-effort tasks wait", func(*mixedFleet) {}, true},
 		{"nothing waits", func(f *mixedFleet) { f.state.Cancel(jobID(3), begin) }, false},
 		{"they have just started", func(f *mixedFleet) {
 			for _, vm := range f.vms {
@@ -151,41 +152,40 @@
 			}
 		}, false},
 		{"one has failed", func(f *mixedFleet) { f.fail() }, true},
-		{"one moves and is not at work yet", func(f *mixedFleet) {
+		{"one moves and is not running yet", func(f *mixedFleet) {
 			f.fail().Moves = accountant.Moving{To: "2", Until: begin.Add(MoveHold)}
 		}, false},
-		{"one has moved and is at work", func(f *mixedFleet) {
+		{"one has moved and is running", func(f *mixedFleet) {
 			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Moves = accountant.Moving{To: "1", Until: begin.Add(MoveHold)}
 		}, true},
-		{"no other task may be away", func(f *mixedFleet) {
+		{"no other task may be unavailable", func(f *mixedFleet) {
 			for _, j := range f.jobs {
 				j.Spec.Steps[0].MaxAway = 1
 				j.Occurrences[0].Steps[0].Tasks[0].Runs[0].Progress = 0
 			}
 		}, false},
-		{"nothing is known of the images", func(f *mixedFleet) { f.learner = learner.New() }, false},
+		{"no effects of the images are known", func(f *mixedFleet) { f.learner = learner.New() }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newMixedFleet(4)
-			f.wait("x")
+			f.submitBestEffort("x")
 			tt.change(f)
 			if got := f.moves(); len(got) > 0 != tt.moves {
-				t.Errorf("%d lasting tasks move", len(got))
+				t.Errorf("%d long-running tasks move", len(got))
 			}
 		})
 	}
 }
 
-// The users of a job allow one of its tasks to be away. A VM with two of them can't be
-// emptied of both at once.
-func TestMovesKeepToTheTasksThatMayBeAway(t *testing.T) {
-	for _, away := range []int{0, 1, 2} {
+// A step allows one of its tasks to be unavailable. Two of them must not leave a VM at once.
+func TestMovesRespectMaxAway(t *testing.T) {
+	for _, unavailable := range []int{0, 1, 2} {
 		f := newMixedFleet(4)
 		for _, j := range f.jobs {
-			j.Spec.Steps[0].MaxAway = away
+			j.Spec.Steps[0].MaxAway = unavailable
 		}
-		f.wait("x")
+		f.submitBestEffort("x")
 		moving := make(map[*accountant.Step]int)
 		for range 6 {
 			clear(moving)
@@ -194,8 +194,8 @@
 				moving[m.Run.Step()]++
 			}
 			for _, n := range moving {
-				if away > 0 && n > away {
-					t.Errorf("%d tasks of a job move at once, %d may be away", n, away)
+				if unavailable > 0 && n > unavailable {
+					t.Errorf("%d tasks of a job move at once, %d may be unavailable", n, unavailable)
 				}
 			}
 			f.move(moves)
@@ -203,12 +203,12 @@
 	}
 }
 
-// A task that moves starts on the VM that was chosen for it, also if that has no room
-// until another has left; after a while it starts anywhere.
-func TestAMovingTaskWaitsForItsPlace(t *testing.T) {
+// A moving task starts on the VM selected for it, even if that VM has no capacity until
+// another task has left. After the hold has expired it starts on any VM.
+func TestMovingTaskWaitsForDestination(t *testing.T) {
 	f := newMixedFleet(2)
 	f.vm("spare", "in", "r1", cores(32))
-	run := runsOf(f.vms[0], "a")[0]
+	run := longRunningRunsOf(f.vms[0], "a")[0]
 	task := run.Task
 	task.Moves = accountant.Moving{To: f.vms[1].Name, Until: begin.Add(MoveHold)}
 	f.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", begin)
@@ -218,21 +218,22 @@
 	if got := f.plan(begin.Add(MoveHold)); len(got) != 1 {
 		t.Fatalf("%d tasks start after the wait", len(got))
 	}
-	other := runsOf(f.vms[1], "b")[0]
+	other := longRunningRunsOf(f.vms[1], "b")[0]
 	f.state.EndRun(other.VM, other.Key(), accountant.EndStopped, "", begin)
 	other.Task.NotBefore = begin.Add(time.Hour)
 	if got := f.plan(begin); len(got) != 1 || got[0].VM != f.vms[1] {
-		t.Errorf("starts %v, want %s", places(got), f.vms[1].Name)
+		t.Errorf("starts %v, want %s", vmsByTask(got), f.vms[1].Name)
 	}
 }
 
-// A lasting task waits for ever though the fleet has room enough: each VM has some, none
-// as much as it needs. A smaller one moves together with others, and it starts.
-func TestALastingTaskGetsScatteredRoom(t *testing.T) {
-	f := newMixedFleet(3) // 32 cores each, 24 taken
+// Guards against a long-running task that waits forever although the fleet has enough free
+// capacity: each VM has some, none as much as it needs. A smaller task moves to another VM,
+// and it starts.
+func TestMoveDefragmentsCapacity(t *testing.T) {
+	f := newMixedFleet(3) // 32 cores each, 24 in use
 	big := f.job("q", specifier.Step{Count: 1, Needs: cores(14), Lasting: true, TailMillis: 18, Image: "a"})
 	if got := f.plan(begin); len(got) != 0 {
-		t.Fatalf("starts at once: %v", places(got))
+		t.Fatalf("starts at once: %v", vmsByTask(got))
 	}
 	small := f.vm("small", "in", "r1", cores(12))
 	moves := f.moves()
@@ -241,61 +242,61 @@
 	}
 	f.move(moves)
 	if got := f.plan(begin); len(got) != 1 || got[0].Task.Step.Occurrence.Job != big {
-		t.Errorf("starts %v, want the waiting task", places(got))
+		t.Errorf("starts %v, want the waiting task", vmsByTask(got))
 	}
 }
 
-// Two tasks of a job whose users let one be away stand on one VM. They must not leave it
-// together, and those of two jobs may.
-func TestTasksThatMayLeaveTogether(t *testing.T) {
+// Two tasks of a step that allows one to be unavailable must not leave their VM together;
+// tasks of two jobs may.
+func TestWithinMaxAway(t *testing.T) {
 	f := newMixedFleet(2)
-	a0, a1, b0 := runsOf(f.vms[0], "a")[0], runsOf(f.vms[1], "a")[0], runsOf(f.vms[0], "b")[0]
+	a0, a1, b0 := longRunningRunsOf(f.vms[0], "a")[0], longRunningRunsOf(f.vms[1], "a")[0], longRunningRunsOf(f.vms[0], "b")[0]
 	tests := []struct {
-		name string
-		away int
-		runs []*accountant.Run
-		want bool
+		name        string
+		unavailable int
+		runs        []*accountant.Run
+		want        bool
 	}{
-		{"two of one job, no bound", 0, []*accountant.Run{a0, a1}, true},
-		{"two of one job, one may be away", 1, []*accountant.Run{a0, a1}, false},
-		{"two of one job, two may be away", 2, []*accountant.Run{a0, a1}, true},
-		{"one each of two jobs, one may be away", 1, []*accountant.Run{a0, b0}, true},
+		{"two of one job, no limit", 0, []*accountant.Run{a0, a1}, true},
+		{"two of one job, one may be unavailable", 1, []*accountant.Run{a0, a1}, false},
+		{"two of one job, two may be unavailable", 2, []*accountant.Run{a0, a1}, true},
+		{"one each of two jobs, one may be unavailable", 1, []*accountant.Run{a0, b0}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for _, j := range f.jobs {
-				j.Spec.Steps[0].MaxAway = tt.away
+				j.Spec.Steps[0].MaxAway = tt.unavailable
 			}
-			if got := apart(tt.runs); got != tt.want {
+			if got := withinMaxAway(tt.runs); got != tt.want {
 				t.Errorf("may leave together: %t", got)
 			}
-			if got := apart(tt.runs[:1], tt.runs[1:]); got != tt.want {
-				t.Errorf("may change places: %t", got)
+			if got := withinMaxAway(tt.runs[:1], tt.runs[1:]); got != tt.want {
+				t.Errorf("may be exchanged: %t", got)
 			}
 		})
 	}
 }
 
-// Guards against a large fleet that arranges itself one move at a time, while its filling tasks
-// wait for minutes: there moves go on beside each other, on other VMs, a share of the lasting
-// tasks at once.
-func TestMovesOfALargeFleetGoOnBesideEachOther(t *testing.T) {
+// Guards against a large fleet that is rearranged one move at a time while its best-effort
+// tasks wait for minutes: moves run concurrently on different VMs, for a share of the
+// long-running tasks at once.
+func TestMovesRunConcurrentlyOnLargeFleet(t *testing.T) {
 	tests := []struct {
-		name string
-		vms  int
-		most int // lasting tasks that are away at once
+		name  string
+		vms   int
+		limit int // long-running tasks that are unavailable at once
 	}{
-		{"small", 4, movesMost},
+		{"small", 4, maxMoving},
 		{"large", 160, 9},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newMixedFleet(tt.vms)
 			for range tt.vms {
-				f.wait("x")
-				f.wait("y")
+				f.submitBestEffort("x")
+				f.submitBestEffort("y")
 			}
-			rounds, away := 0, 0
+			rounds, unavailable := 0, 0
 			taken := make(map[string]bool)
 			for {
 				moves := f.moves()
@@ -311,32 +312,32 @@
 					from[m.Run.VM.Name], from[m.To.Name] = true, true
 					f.state.SetMove(m.Run.Task, m.Moving(begin), begin)
 					f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
-					away++
+					unavailable++
 				}
 				for vm := range from {
 					taken[vm] = true
 				}
 			}
-			if away == 0 || away > tt.most {
-				t.Errorf("%d lasting tasks are away at once, want at most %d", away, tt.most)
+			if unavailable == 0 || unavailable > tt.limit {
+				t.Errorf("%d long-running tasks are unavailable at once, want at most %d", unavailable, tt.limit)
 			}
 			if tt.vms > 100 && rounds < 3 {
-				t.Errorf("%d moves beside each other", rounds)
+				t.Errorf("%d concurrent moves", rounds)
 			}
 		})
 	}
 }
 
-// Guards against a lasting task that moves and finds no place: its stop takes longer than the
-// hold, and the room on both VMs is taken by others meanwhile. Room is held from the end of
-// its run on, and what it leaves is held for the task that it makes room for.
-func TestRoomOfAMoveIsHeldFromItsEnd(t *testing.T) {
-	b := newBed(specifier.Queue{Name: "q", Slack: 20})
+// Guards against a moving long-running task that finds no capacity: its stop takes longer than
+// the hold, and other tasks take the capacity on both VMs in the meantime. Capacity is held
+// from the end of its run, and what it leaves is held for the task that it moves for.
+func TestCapacityOfMoveIsHeldFromEndOfRun(t *testing.T) {
+	b := newFixture(specifier.Queue{Name: "q", Slack: 20})
 	from, to := b.vm("from", "in", "r1", cores(16)), b.vm("to", "in", "r1", cores(8))
 	small := b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true})
 	large := b.job("q", specifier.Step{Count: 1, Needs: cores(16), Lasting: true})
 	mover, next := small.Occurrences[0].Steps[0].Tasks[0], large.Occurrences[0].Steps[0].Tasks[0]
-	b.atWork(mover, from)
+	b.runOn(mover, from)
 	run := mover.Runs[0]
 	move := Move{Run: run, To: to, For: next.Step}
 	b.state.Stop(run, "moves", begin)
@@ -344,30 +345,30 @@
 	b.urgent("q", 24)
 	late := begin.Add(2 * MoveHold)
 	if got := b.plan(late); len(got) != 0 {
-		t.Fatalf("%d tasks start in the room of the move", len(got))
+		t.Fatalf("%d tasks start on the capacity of the move", len(got))
 	}
 	b.state.EndRun(from, run.Key(), accountant.EndStopped, "", late)
 	want := map[string]string{mover.ID().String(): "to", next.ID().String(): "from"}
-	if diff := cmp.Diff(want, places(b.plan(late))); diff != "" {
+	if diff := cmp.Diff(want, vmsByTask(b.plan(late))); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Guards against a lasting task that stays away while VMs have room by turns: others move to
-// each room as it becomes free, for the sake of filling tasks.
-func TestNothingMovesForFillingTasksWhileALastingOneIsOverdue(t *testing.T) {
+// Guards against a long-running task that stays unavailable while VMs have capacity one after
+// another: other long-running tasks would take it by moves for best-effort tasks.
+func TestNoMoveForBestEffortWhileLongRunningIsOverdue(t *testing.T) {
 	for _, overdue := range []bool{false, true} {
 		f := newMixedFleet(4)
-		f.wait("x")
-		away := f.job("q", specifier.Step{Count: 1, Needs: cores(16), Lasting: true, Image: "a"})
-		task := away.Occurrences[0].Steps[0].Tasks[0]
+		f.submitBestEffort("x")
+		unavailable := f.job("q", specifier.Step{Count: 1, Needs: cores(16), Lasting: true, Image: "a"})
+		task := unavailable.Occurrences[0].Steps[0].Tasks[0]
 		task.Ran, task.WaitSince = true, begin.Add(2*time.Second)
 		if overdue {
 			task.WaitSince = begin.Add(-time.Minute)
 		}
 		for _, m := range f.moves() {
 			if overdue == (m.For == nil) {
-				t.Errorf("overdue %t: %s moves for filling tasks: %t", overdue, m.Run.Key().Task, m.For == nil)
+				t.Errorf("overdue %t: %s moves for best-effort tasks: %t", overdue, m.Run.Key().Task, m.For == nil)
 			}
 		}
 	}
--- a/internal/job/planner/order.go
+++ b/internal/job/planner/order.go
@@ -7,27 +7,27 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// urgency tells how much a caller still gains from a job.
+// urgency is how much a caller still gains from a job.
 type urgency int
 
 const (
-	inTime   urgency = iota // can end within its objective
-	late                    // worth less, but something
-	hopeless                // worth nothing more: only finished
+	onTime  urgency = iota // can end within its objective
+	late                   // has a reduced value
+	tooLate                // has no value any more, is only completed
 )
 
 type ranked struct {
 	step     *accountant.Step
 	priority int
 	urgency  urgency
-	left     float64 // share of its work that is not done
+	left     float64 // share of the work that is not done
 	deadline time.Time
 }
 
-// order sorts steps: by priority of the queue, then by what is still to be gained, those
-// that end before those that last, then by the share of their work that is left, jobs that
-// are nearly done first, whatever their size. Under a backlog, deadlines alone would start
-// all jobs a little and end none in time.
+// order sorts steps by the priority of their queue, then by urgency, then steps that end
+// before long-running ones, then by the share of work left, so that jobs that are nearly done
+// come first, whatever their size. Under a backlog, an order by deadlines alone would start
+// all jobs a little and complete none in time.
 func order(in Input, steps []*accountant.Step) []*accountant.Step {
 	list := make([]ranked, len(steps))
 	for i, s := range steps {
@@ -57,17 +57,17 @@
 func rank(in Input, s *accountant.Step) ranked {
 	o := s.Occurrence
 	q := o.Job.Queue
-	chain := chainOf(o)
+	chain := longestChains(o)
 	objective := time.Duration(float64(chain.total)*q.Slack) + q.Target
 	r := ranked{step: s, priority: q.Priority, deadline: o.DueAt.Add(objective)}
 	if s.Spec.Lasting {
-		r.deadline = s.ReadyAt // first come first served
+		r.deadline = s.ReadyAt // first come, first served
 		return r
 	}
 	end := in.Now.Add(time.Duration(float64(chain.left) * in.State.Stretch(o.Job.Spec.Queue)))
 	switch {
-	case end.After(o.DueAt.Add(lateFactor * objective)):
-		r.urgency = hopeless
+	case end.After(o.DueAt.Add(tooLateFactor * objective)):
+		r.urgency = tooLate
 		return r
 	case end.After(r.deadline):
 		r.urgency = late
@@ -76,14 +76,15 @@
 	return r
 }
 
-// chainLengths are the longest chains of declared work of an occurrence.
+// chainLengths are the lengths of the longest dependency chains of an occurrence, by declared
+// durations.
 type chainLengths struct {
 	total time.Duration
 	left  time.Duration // over the steps that are not finished
 }
 
-// chainOf returns the longest chains of work of an occurrence.
-func chainOf(o *accountant.Occurrence) chainLengths {
+// longestChains returns the lengths of the longest dependency chains of an occurrence.
+func longestChains(o *accountant.Occurrence) chainLengths {
 	var c chainLengths
 	total := make([]time.Duration, len(o.Steps))
 	left := make([]time.Duration, len(o.Steps))
--- a/internal/job/planner/pace_test.go
+++ b/internal/job/planner/pace_test.go
@@ -8,13 +8,13 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// harmBound is how long on end a lasting task may be over its target while the
-// tasks that fill beside it work on; an order takes 100 ms to work.
-const harmBound = 4*time.Second - 100*time.Millisecond
+// overTargetBound is how long without interruption a long-running task may be over its target
+// while best-effort tasks on its VM make progress; an order takes 100 ms to have an effect.
+const overTargetBound = 4*time.Second - 100*time.Millisecond
 
-// pacedBed has a VM with a lasting task and one that fills.
-func pacedBed() (b *bed, lasting, fill *accountant.Run) {
-	b = newBed()
+// newPacedFixture returns a VM with a long-running and a best-effort task.
+func newPacedFixture() (b *fixture, longRunning, bestEffort *accountant.Run) {
+	b = newFixture()
 	vm := b.vm("vm", "in", "r1", cores(32))
 	for i, s := range []specifier.Step{
 		{Count: 1, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"},
@@ -24,23 +24,23 @@
 		r := b.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
 		r.State, r.StartedAt, r.Progress = accountant.Running, begin, 100
 		if i == 0 {
-			lasting = r
+			longRunning = r
 		} else {
-			fill = r
+			bestEffort = r
 		}
 	}
-	return b, lasting, fill
+	return b, longRunning, bestEffort
 }
 
-// play feeds tails, one for each step of 300 ms, and returns the pace after each.
-func play(b *bed, lasting, fill *accountant.Run, tails []int64) []int {
+// replayTails applies tail latencies, one per 300 ms, and returns the pace after each.
+func replayTails(b *fixture, longRunning, bestEffort *accountant.Run, tails []int64) []int {
 	var paces []int
 	for i, tail := range tails {
-		lasting.Measure = tail
+		longRunning.Measure = tail
 		for _, p := range Paces(Input{Now: begin.Add(time.Duration(i) * 300 * time.Millisecond), State: b.state}) {
 			p.Run.Pace = p.Percent
 		}
-		paces = append(paces, fill.Pace)
+		paces = append(paces, bestEffort.Pace)
 	}
 	return paces
 }
@@ -53,33 +53,33 @@
 	return all
 }
 
-// The users of a lasting task wait too long, since a task fills beside it. It stays
-// over its target however much the other one is slowed down: before the bound the
-// other one must stand still.
-func TestFillsStandStillBeforeTheBound(t *testing.T) {
-	b, lasting, fill := pacedBed()
-	paces := play(b, lasting, fill, repeat(40, 20))
+// Guards against users who wait too long because of a best-effort task. The long-running task
+// stays over its target however much the other one is throttled: that one must be stalled
+// before the bound.
+func TestBestEffortStallsBeforeBound(t *testing.T) {
+	b, longRunning, bestEffort := newPacedFixture()
+	paces := replayTails(b, longRunning, bestEffort, repeat(40, 20))
 	for i, p := range paces {
-		if time.Duration(i)*300*time.Millisecond >= harmBound && p != 0 {
+		if time.Duration(i)*300*time.Millisecond >= overTargetBound && p != 0 {
 			t.Fatalf("%d ms over target, and the pace is %d%%", i*300, p)
 		}
 	}
 	if paces[1] != paceFull {
-		t.Errorf("one report over target slows down at once")
+		t.Errorf("a single report over target throttles")
 	}
 }
 
-func TestFillsSpeedUpAgain(t *testing.T) {
-	b, lasting, fill := pacedBed()
-	paces := play(b, lasting, fill, append(repeat(40, 10), repeat(5, 14)...))
+func TestBestEffortSpeedsUpAgain(t *testing.T) {
+	b, longRunning, bestEffort := newPacedFixture()
+	paces := replayTails(b, longRunning, bestEffort, append(repeat(40, 10), repeat(5, 14)...))
 	if got := paces[len(paces)-1]; got != paceFull {
 		t.Errorf("4 s under target, and the pace is %d%%", got)
 	}
 }
 
-func TestShortPeaksDoNotSlowDown(t *testing.T) {
-	b, lasting, fill := pacedBed()
-	for i, p := range play(b, lasting, fill, []int64{5, 40, 40, 5, 5, 40, 5, 40, 40, 5}) {
+func TestShortPeaksDoNotThrottle(t *testing.T) {
+	b, longRunning, bestEffort := newPacedFixture()
+	for i, p := range replayTails(b, longRunning, bestEffort, []int64{5, 40, 40, 5, 5, 40, 5, 40, 40, 5}) {
 		if p != paceFull {
 			t.Errorf("pace %d%% after report %d", p, i)
 		}
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -1,5 +1,6 @@
-// Package planner decides which task starts on which VM. It is pure: it reads
-// the accountant's state and the time passed in, and changes nothing.
+// Package planner decides which tasks start on which VMs, and which runs to stop, move or
+// throttle. It performs no I/O: it reads the accountant's state and the time passed in, and
+// changes nothing, except that Learn updates the learner and Paces the throttling state of VMs.
 package planner
 
 import (
@@ -14,18 +15,20 @@
 
 // Limits of placement.
 const (
-	// fillShare is how many processors filling tasks may ask for, as a multiple of
-	// those that a VM has idle. They use what is idle, and declared sizes are
-	// peaks, so some more than what is left keeps it busy.
-	fillShare = 2.0
-	// fillShareBeside is the same on a VM with lasting tasks, which they disturb.
-	fillShareBeside = 1.3
-	// lastingUse is how much of what lasting tasks declare they use in the mean.
-	lastingUse = 0.5
-	// lateFactor is how many objectives after its acceptance a job is worth
-	// nothing more to its caller.
-	lateFactor = 3
-	// maxStarts bounds one round, so that a large burst does not hold up reports.
+	// overcommitAlone is how many processors best-effort tasks may ask for, as a multiple of
+	// the idle processors of a VM without long-running tasks. Declared sizes are peaks, so
+	// some overcommitment keeps the VM busy.
+	overcommitAlone = 2.0
+	// overcommitColocated is the same on a VM with long-running tasks, with which they would
+	// interfere.
+	overcommitColocated = 1.3
+	// longRunningUtilization is the share of their declared processors that long-running tasks
+	// use on average.
+	longRunningUtilization = 0.5
+	// tooLateFactor is after how many objectives since its acceptance a job has no value for
+	// its caller any more.
+	tooLateFactor = 3
+	// maxStarts bounds one round, so that a large burst does not delay reports.
 	maxStarts = 64
 )
 
@@ -35,84 +38,84 @@
 	VM     *accountant.VM
 	Number int64 // of the run
 	Ticket string
-	Copy   bool // another run of the task goes on
+	Copy   bool // another run of the task continues
 }
 
-// Input is what a round of planning reads.
+// Input is the input of a planning round.
 type Input struct {
 	Now     time.Time
 	State   *accountant.Accountant
-	Learner *learner.Learner // nil: nothing is known of disturbance
-	// PressedAt is when an urgent task last had waited too long for room.
+	Learner *learner.Learner // nil if no effects of images are known
+	// PressedAt is when an urgent task last had waited too long for capacity.
 	PressedAt time.Time
-	// Memory carries over what changes little; nil: each round works it out anew.
+	// Memory caches results between rounds; if it is nil, each round computes them anew.
 	Memory *Memory
 }
 
-// room is what a VM has left during a round.
-type room struct {
-	vm      *accountant.VM
-	now     time.Time
-	free    specifier.Resources
-	fillCPU int64
-	lasting int
-	lastCPU int64
-	placed  int  // in this round
-	met     bool // the neighbours are known
-	// neighbours are the lasting tasks that filling ones would disturb.
+// vmState is the capacity of a VM during a round, after the tasks placed in the round.
+type vmState struct {
+	vm              *accountant.VM
+	now             time.Time
+	free            specifier.Resources
+	bestEffortCPU   int64
+	longRunning     int
+	longRunningCPU  int64
+	placed          int  // in this round
+	neighboursKnown bool // whether neighbours is set
+	// neighbours are the long-running tasks that best-effort tasks could interfere with.
 	neighbours []neighbour
-	images     company // of the lasting tasks; nil until it is needed
-	// held are the tasks for which room is kept; what they need is no part of free.
-	held             map[*accountant.Task]bool
-	ahead            bool                // the following two are known
-	stopping, ending specifier.Resources // of runs that are being stopped, and of others that do not last
+	images     imageCounts // of the long-running tasks; nil until it is needed
+	// reserved holds the tasks with reserved capacity on the VM, which free does not include.
+	reserved         map[*accountant.Task]bool
+	releasesKnown    bool                // whether stopping and ending are set
+	stopping, ending specifier.Resources // resources of the runs that are being stopped, and of the others that are not long-running
 }
 
 type round struct {
-	in      Input
-	now     time.Time
-	state   *accountant.Accountant
-	learner *learner.Learner
-	rooms   []*room
-	effects map[pair]float64 // cautious ones, looked up once
-	counts  map[*accountant.Step]map[*accountant.VM]int
-	blocked map[kind]specifier.Resources // the least of each kind that found no VM
-	look    *outlook                     // nil until it is needed
-	all     []float64                    // open to each filling image on all VMs as the round began
-	base    float64                      // what filling images get of it
-	// stopped are the runs that the round stops for lasting tasks, and preempted is for how
-	// many of these.
-	stopped   map[*accountant.Run]bool
-	preempted int
-	claimed   int                       // tasks for which room was asked to be held
-	promised  map[*accountant.Step]bool // room is held for a task of these
+	in          Input
+	now         time.Time
+	state       *accountant.Accountant
+	learner     *learner.Learner
+	vmStates    []*vmState
+	effects     map[imagePair]float64 // cautious effects, looked up once
+	counts      map[*accountant.Step]map[*accountant.VM]int
+	unplaceable map[placementClass]specifier.Resources // smallest needs of each class that fit on no VM
+	demand      *demandModel                           // nil until it is needed
+	fleetUsable []float64                              // usable by each best-effort image on all VMs at the start of the round
+	fleetServed float64                                // best-effort demand served by it
+	// stopped holds the runs that the round stops for long-running tasks, and preempted the
+	// number of these tasks.
+	stopped               map[*accountant.Run]bool
+	preempted             int
+	reservationsRequested int                       // tasks that reservations were requested for
+	reservedSteps         map[*accountant.Step]bool // steps with a reservation for one of their tasks
 }
 
 func newRound(in Input) *round {
-	return &round{in: in, now: in.Now, state: in.State, learner: in.Learner, effects: make(map[pair]float64), counts: make(map[*accountant.Step]map[*accountant.VM]int), blocked: make(map[kind]specifier.Resources), stopped: make(map[*accountant.Run]bool), promised: make(map[*accountant.Step]bool)}
+	return &round{in: in, now: in.Now, state: in.State, learner: in.Learner, effects: make(map[imagePair]float64), counts: make(map[*accountant.Step]map[*accountant.VM]int), unplaceable: make(map[placementClass]specifier.Resources), stopped: make(map[*accountant.Run]bool), reservedSteps: make(map[*accountant.Step]bool)}
 }
 
-// openRooms takes in the VMs that may be used at all, in the order of their names.
-func (r *round) openRooms() {
+// loadVMs adds the usable VMs, sorted by name.
+func (r *round) loadVMs() {
 	for _, vm := range r.state.VMs {
-		if usable(vm, r.in) {
-			m := newRoom(vm, r.now)
-			r.in.Memory.recall(m)
-			r.rooms = append(r.rooms, m)
+		if acceptsTasks(vm, r.in) {
+			m := newVMState(vm, r.now)
+			r.in.Memory.restore(m)
+			r.vmStates = append(r.vmStates, m)
 		}
 	}
-	sort.Slice(r.rooms, func(i, j int) bool { return r.rooms[i].vm.Name < r.rooms[j].vm.Name })
-	r.holdForMoves()
+	sort.Slice(r.vmStates, func(i, j int) bool { return r.vmStates[i].vm.Name < r.vmStates[j].vm.Name })
+	r.reserveForMoves()
 }
 
-func newRoom(vm *accountant.VM, now time.Time) *room {
-	return &room{vm: vm, now: now, free: vm.Capacity.Sub(vm.Committed), fillCPU: vm.FillCPU, lasting: vm.Lasting, lastCPU: vm.LastCPU}
+func newVMState(vm *accountant.VM, now time.Time) *vmState {
+	return &vmState{vm: vm, now: now, free: vm.Capacity.Sub(vm.Committed), bestEffortCPU: vm.FillCPU, longRunning: vm.Lasting, longRunningCPU: vm.LastCPU}
 }
 
 // Plan returns the starts of one round, most urgent first.
 func Plan(in Input) []Start {
 	r := newRound(in)
-	r.openRooms()
+	r.loadVMs()
 	steps := order(in, in.State.WaitingSteps(in.Now))
 	starts := r.placeOverdue(steps)
 	for _, s := range steps {
@@ -127,9 +130,9 @@
 	return starts
 }
 
-// usable tells whether anything may start on a VM at all. Beside a run of unknown size
-// nothing may: the VM would be given more than it has.
-func usable(vm *accountant.VM, in Input) bool {
+// acceptsTasks reports whether any task may start on a VM. None may on a VM with a run of
+// unknown size: the VM could be overcommitted.
+func acceptsTasks(vm *accountant.VM, in Input) bool {
 	return vm.Attached && vm.Ready && vm.Sized() && !vm.Quarantined(in.Now) && !in.State.Policy().ZonesOut[vm.Zone]
 }
 
@@ -137,23 +140,23 @@
 	if s.Spec.Gang {
 		return r.placeGang(s)
 	}
-	if r.blockedFor(s) {
+	if r.knownUnplaceable(s) {
 		return nil
 	}
-	count := r.countOf(s)
+	count := r.runCounts(s)
 	var starts []Start
 	for _, t := range s.Tasks {
-		if !t.Waits(r.now) || r.overdue(t) || t.Yielded && r.pressed() {
+		if !t.Waits(r.now) || r.overdue(t) || t.Yielded && r.underPressure() {
 			continue
 		}
 		best := r.choose(s, t, count)
 		if best == nil {
-			if r.claims(t) {
-				r.claim(t)
+			if r.needsReservation(t) {
+				r.reserveFor(t)
 			}
-			r.noteBlocked(s)
-			// Tasks of a step are equal, so the others fit nowhere either, but for
-			// a task that only avoids VMs where it failed.
+			r.noteUnplaceable(s)
+			// Tasks of a step have the same needs, so the others fit on no VM either, except
+			// for a task that only avoids VMs where it failed.
 			if len(t.Shunned) == 0 {
 				break
 			}
@@ -164,58 +167,58 @@
 	return starts
 }
 
-// place books a task in a room.
-func (r *round) place(t *accountant.Task, m *room, number int64) Start {
+// place assigns a task to a VM and returns its start.
+func (r *round) place(t *accountant.Task, m *vmState, number int64) Start {
 	m.release(t)
-	r.take(m, t.Step.Spec)
-	r.countOf(t.Step)[m.vm]++
+	r.assign(m, t.Step.Spec)
+	r.runCounts(t.Step)[m.vm]++
 	return r.start(t, m, number)
 }
 
-// kind is filling tasks that any VM of their service may take, for which alone their
-// size decides.
-type kind struct{ queue, image string }
+// placementClass is the best-effort tasks that any VM of their service may run, so that
+// placement depends on their size only.
+type placementClass struct{ queue, image string }
 
-// blockedFor tells whether a step needs as much as one of its kind that found no VM in
-// this round. Under a backlog most of the waiting steps do, and the owner would spend its
-// processor on looking at all VMs for each of them.
-func (r *round) blockedFor(s *accountant.Step) bool {
-	least, ok := r.blocked[kind{s.Occurrence.Job.Queue.Name, s.Spec.Image}]
-	return ok && plainFill(s) && s.Spec.Needs.Fits(least)
+// knownUnplaceable reports whether a step needs at least as much as one of its class that fit
+// on no VM in this round. Under a backlog this is true of most waiting steps, and the owner
+// would spend its processor time on checking all VMs for each of them.
+func (r *round) knownUnplaceable(s *accountant.Step) bool {
+	least, ok := r.unplaceable[placementClass{s.Occurrence.Job.Queue.Name, s.Spec.Image}]
+	return ok && plainBestEffort(s) && s.Spec.Needs.Fits(least)
 }
 
-// noteBlocked notes that a task of a step found no VM.
-func (r *round) noteBlocked(s *accountant.Step) {
-	if !plainFill(s) {
+// noteUnplaceable records that a task of a step fits on no VM.
+func (r *round) noteUnplaceable(s *accountant.Step) {
+	if !plainBestEffort(s) {
 		return
 	}
-	k := kind{s.Occurrence.Job.Queue.Name, s.Spec.Image}
-	if least, ok := r.blocked[k]; !ok || least.Fits(s.Spec.Needs) {
-		r.blocked[k] = s.Spec.Needs
+	k := placementClass{s.Occurrence.Job.Queue.Name, s.Spec.Image}
+	if least, ok := r.unplaceable[k]; !ok || least.Fits(s.Spec.Needs) {
+		r.unplaceable[k] = s.Spec.Needs
 	}
 }
 
-func plainFill(s *accountant.Step) bool {
+func plainBestEffort(s *accountant.Step) bool {
 	return s.Spec.Fills && !s.Spec.Lasting && !s.Spec.Gang && s.Spec.Label == "" && s.Spec.MaxPerVM == 0 && !s.Occurrence.Job.Queue.Advised
 }
 
-// placeGang places all tasks of a gang or none: a part of it would only wait.
+// placeGang places all tasks of a gang or none: a part of the gang would only wait.
 func (r *round) placeGang(s *accountant.Step) []Start {
-	saved := make([]room, len(r.rooms))
-	for i, m := range r.rooms {
+	saved := make([]vmState, len(r.vmStates))
+	for i, m := range r.vmStates {
 		saved[i] = *m
 		saved[i].neighbours = slices.Clone(m.neighbours)
 	}
 	number := r.state.GangNumber(s)
-	count := r.countOf(s)
+	count := r.runCounts(s)
 	var starts []Start
 	for _, t := range s.Tasks {
-		best := (*room)(nil)
+		best := (*vmState)(nil)
 		if t.Waits(r.now) {
 			best = r.choose(s, t, count)
 		}
-		if best == nil { // no room, or a member of an earlier run is not gone yet
-			for i, m := range r.rooms {
+		if best == nil { // no capacity, or a member of an earlier run has not ended yet
+			for i, m := range r.vmStates {
 				*m = saved[i]
 			}
 			delete(r.counts, s)
@@ -226,30 +229,30 @@
 	return starts
 }
 
-func (r *round) start(t *accountant.Task, m *room, number int64) Start {
+func (r *round) start(t *accountant.Task, m *vmState, number int64) Start {
 	ticket, _ := t.Step.TicketFor(m.vm, r.now)
 	return Start{Task: t, VM: m.vm, Number: number, Ticket: ticket}
 }
 
-func (m *room) ticketed(s *accountant.Step) bool {
+func (m *vmState) hasTicket(s *accountant.Step) bool {
 	_, ok := s.TicketFor(m.vm, m.now)
 	return ok
 }
 
-// countOf counts the runs of a step on each VM, those placed in this round included:
-// waiting tasks and copies of others may belong to one step, and its limit for a VM
-// holds for both together.
-func (r *round) countOf(s *accountant.Step) map[*accountant.VM]int {
+// runCounts returns the number of runs of a step on each VM, including those placed in this
+// round: waiting tasks and copies of other tasks may belong to one step, and the limit per VM
+// applies to both together.
+func (r *round) runCounts(s *accountant.Step) map[*accountant.VM]int {
 	count := r.counts[s]
 	if count == nil {
-		count = perVM(s)
+		count = runsPerVM(s)
 		r.counts[s] = count
 	}
 	return count
 }
 
-// perVM counts the live runs of a step on each VM.
-func perVM(s *accountant.Step) map[*accountant.VM]int {
+// runsPerVM returns the number of current runs of a step on each VM.
+func runsPerVM(s *accountant.Step) map[*accountant.VM]int {
 	count := make(map[*accountant.VM]int)
 	for _, t := range s.Tasks {
 		for _, run := range t.Runs {
@@ -259,45 +262,44 @@
 	return count
 }
 
-// take books a task in a room.
-func (r *round) take(m *room, s *specifier.Step) {
+// assign accounts for a task on a VM.
+func (r *round) assign(m *vmState, s *specifier.Step) {
 	m.free = m.free.Sub(s.Committed())
 	if s.Fills {
-		r.joinFill(m, s)
-		m.fillCPU += s.Needs.CPUMillis
+		r.subtractBestEffort(m, s)
+		m.bestEffortCPU += s.Needs.CPUMillis
 	}
 	if s.Lasting {
-		m.images = m.company().changed(s.Image, 1)
-		m.lasting++
-		m.lastCPU += s.Needs.CPUMillis
+		m.images = m.imageCounts().adjusted(s.Image, 1)
+		m.longRunning++
+		m.longRunningCPU += s.Needs.CPUMillis
 	}
 	m.placed++
 }
 
-// choose returns the best VM for a task, or nil. VMs on which it failed come
-// last.
-func (r *round) choose(s *accountant.Step, t *accountant.Task, count map[*accountant.VM]int) *room {
-	var best *room
+// choose returns the best VM for a task, or nil. VMs on which the task failed come last.
+func (r *round) choose(s *accountant.Step, t *accountant.Task, count map[*accountant.VM]int) *vmState {
+	var best *vmState
 	var bestScore score
-	for _, m := range r.rooms {
+	for _, m := range r.vmStates {
 		if !m.admitsTask(s, t, count[m.vm]) || t.RunsOn(m.vm) {
 			continue
 		}
 		if t.Waiting(m.vm.Name, r.now) {
 			continue
 		}
-		var takes float64
+		var cost float64
 		if s.Spec.Fills {
-			d := r.disturbance(m, s)
-			if d.least < headroomLeast {
+			d := r.interference(m, s)
+			if d.leastHeadroom < minHeadroom {
 				continue
 			}
-			takes = d.takes
+			cost = d.loss
 		}
 		if s.Spec.Lasting {
-			takes = r.takesOpen(m, s)
+			cost = r.servedLoss(m, s)
 		}
-		sc := rate(m, s, t, count[m.vm], takes)
+		sc := scoreVM(m, s, t, count[m.vm], cost)
 		if best == nil || sc.above(bestScore) {
 			best, bestScore = m, sc
 		}
@@ -305,63 +307,64 @@
 	return best
 }
 
-// admitsTask tells whether the VM admits a task of the step, on the room that is held for it
-// too.
-func (m *room) admitsTask(s *accountant.Step, t *accountant.Task, running int) bool {
+// admitsTask reports whether the VM admits a task of the step, including on the capacity
+// reserved for it.
+func (m *vmState) admitsTask(s *accountant.Step, t *accountant.Task, running int) bool {
 	if !m.release(t) {
 		return m.admits(s, running)
 	}
-	defer m.hold(t)
+	defer m.reserve(t)
 	return m.admits(s, running)
 }
 
-func (m *room) admits(s *accountant.Step, running int) bool {
+func (m *vmState) admits(s *accountant.Step, running int) bool {
 	spec := s.Spec
-	if !m.free.Fits(spec.Committed()) || !m.mayAdmit(s, running) {
+	if !m.free.Fits(spec.Committed()) || !m.eligible(s, running) {
 		return false
 	}
 	if !spec.Fills {
 		return true
 	}
-	left := m.fillRoom()
-	return m.fillCPU == 0 && left > 0 || float64(spec.Needs.CPUMillis) <= left
+	left := m.bestEffortCapacity()
+	return m.bestEffortCPU == 0 && left > 0 || float64(spec.Needs.CPUMillis) <= left
 }
 
-// mayAdmit tells whether the VM would admit a task of the step if it had room.
-func (m *room) mayAdmit(s *accountant.Step, running int) bool {
+// eligible reports whether the VM would admit a task of the step if it had enough free
+// capacity.
+func (m *vmState) eligible(s *accountant.Step, running int) bool {
 	spec := s.Spec
 	switch {
 	case !s.Occurrence.Job.Queue.RunsOn(m.vm.Service),
 		spec.Label != "" && !m.vm.Labels[spec.Label],
 		spec.MaxPerVM > 0 && running >= spec.MaxPerVM:
 		return false
-	case s.Occurrence.Job.Queue.Advised && !m.ticketed(s):
+	case s.Occurrence.Job.Queue.Advised && !m.hasTicket(s):
 		return false
 	case m.vm.OnProbation() && m.vm.Probes()+m.placed > 0:
-		return false // one task at a time shows whether the worker is sound again
+		return false // one task at a time shows whether the worker is healthy again
 	}
 	return true
 }
 
-// fillRoom is how many thousandths of a core filling tasks may still ask for.
-func (m *room) fillRoom() float64 {
-	share := fillShare
-	if m.lasting > 0 {
-		share = fillShareBeside
+// bestEffortCapacity is how many thousandths of a core best-effort tasks may still ask for.
+func (m *vmState) bestEffortCapacity() float64 {
+	share := overcommitAlone
+	if m.longRunning > 0 {
+		share = overcommitColocated
 	}
-	return m.idle()*share - float64(m.fillCPU)
+	return m.idle()*share - float64(m.bestEffortCPU)
 }
 
-// idle is how many thousandths of a core the tasks that set processors aside are
-// expected to leave unused.
-func (m *room) idle() float64 {
-	return float64(m.free.CPUMillis) + float64(m.lastCPU)*(1-lastingUse)
+// idle is how many thousandths of a core the tasks with reserved processors are expected to
+// leave unused.
+func (m *vmState) idle() float64 {
+	return float64(m.free.CPUMillis) + float64(m.longRunningCPU)*(1-longRunningUtilization)
 }
 
-// company returns the lasting images of the VM, those placed in this round included.
-func (m *room) company() company {
+// imageCounts returns the long-running images of the VM, including those placed in this round.
+func (m *vmState) imageCounts() imageCounts {
 	if m.images == nil {
-		m.images = companyOf(m.vm)
+		m.images = countImages(m.vm)
 	}
 	return m.images
 }
--- a/internal/job/planner/planner_test.go
+++ b/internal/job/planner/planner_test.go
@@ -21,34 +21,34 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-type bed struct {
+type fixture struct {
 	state *accountant.Accountant
 	jobs  int
 }
 
-func newBed(queues ...specifier.Queue) *bed {
+func newFixture(queues ...specifier.Queue) *fixture {
 	if len(queues) == 0 {
 		queues = []specifier.Queue{{Name: "q", Slack: 2, MaxFailures: 3}}
 	}
-	return &bed{state: accountant.New(accountant.Config{Policy: &specifier.Policy{Version: 1, Queues: queues, ZonesOut: map[string]bool{"out": true}}})}
+	return &fixture{state: accountant.New(accountant.Config{Policy: &specifier.Policy{Version: 1, Queues: queues, ZonesOut: map[string]bool{"out": true}}})}
 }
 
-func (b *bed) vm(name, zone, rack string, capacity specifier.Resources, labels ...string) *accountant.VM {
+func (b *fixture) vm(name, zone, rack string, capacity specifier.Resources, labels ...string) *accountant.VM {
 	vm, _ := b.state.Attach(accountant.Facts{Name: name, Zone: zone, Rack: rack, Labels: labels, Capacity: capacity}, accountant.Report{Life: "1", Ready: true}, begin)
 	return vm
 }
 
-func (b *bed) job(queue string, steps ...specifier.Step) *accountant.Job {
+func (b *fixture) job(queue string, steps ...specifier.Step) *accountant.Job {
 	b.jobs++
 	spec := &specifier.Job{ID: jobID(b.jobs), Queue: queue, Steps: steps, AcceptedMillis: begin.UnixMilli() + int64(b.jobs)}
 	b.state.AddJob(spec, time.Time{}, begin)
 	return b.state.Jobs[spec.ID]
 }
 
-func (b *bed) plan(now time.Time) []Start { return Plan(Input{Now: now, State: b.state}) }
+func (b *fixture) plan(now time.Time) []Start { return Plan(Input{Now: now, State: b.state}) }
 
-// places returns the VMs of the starts by task.
-func places(starts []Start) map[string]string {
+// vmsByTask returns the VMs of the starts by task.
+func vmsByTask(starts []Start) map[string]string {
 	m := make(map[string]string)
 	for _, s := range starts {
 		m[s.Task.ID().String()] = s.VM.Name
@@ -56,7 +56,7 @@
 	return m
 }
 
-func TestWhereATaskMayRun(t *testing.T) {
+func TestEligibleVMs(t *testing.T) {
 	step := func(change func(*specifier.Step)) specifier.Step {
 		s := specifier.Step{Count: 1, Needs: cores(2), EstimateMillis: 100}
 		change(&s)
@@ -67,16 +67,16 @@
 		step specifier.Step
 		want string // VM; empty: none
 	}{
-		{"anywhere with room", step(func(s *specifier.Step) { s.Needs = cores(6) }), "large"},
-		{"nowhere", step(func(s *specifier.Step) { s.Needs = cores(9) }), ""},
+		{"any VM with enough capacity", step(func(s *specifier.Step) { s.Needs = cores(6) }), "large"},
+		{"no VM", step(func(s *specifier.Step) { s.Needs = cores(9) }), ""},
 		{"label", step(func(s *specifier.Step) { s.Label = "ssd" }), "small"},
 		{"label that no VM has", step(func(s *specifier.Step) { s.Label = "gold" }), ""},
-		{"where its data lies", step(func(s *specifier.Step) { s.DataRack = "r1" }), "small"},
-		{"elsewhere if there is no room at its data", step(func(s *specifier.Step) { s.DataRack = "r1"; s.Needs = cores(6) }), "large"},
+		{"rack of its data", step(func(s *specifier.Step) { s.DataRack = "r1" }), "small"},
+		{"another rack if that of its data has no capacity", step(func(s *specifier.Step) { s.DataRack = "r1"; s.Needs = cores(6) }), "large"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed()
+			b := newFixture()
 			b.vm("small", "in", "r1", cores(4), "ssd")
 			b.vm("large", "in", "r2", cores(8))
 			b.vm("out", "out", "r3", cores(64), "ssd")
@@ -85,23 +85,23 @@
 			if tt.want != "" {
 				want[jobID(1)+".0.0.0"] = tt.want
 			}
-			if diff := cmp.Diff(want, places(b.plan(begin))); diff != "" {
+			if diff := cmp.Diff(want, vmsByTask(b.plan(begin))); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestWhichVMsTakeNothing(t *testing.T) {
+func TestIneligibleVMs(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(b *bed, vm *accountant.VM)
+		change func(b *fixture, vm *accountant.VM)
 	}{
-		{"not reached", func(b *bed, vm *accountant.VM) { b.state.Detach(vm) }},
-		{"leaving", func(b *bed, vm *accountant.VM) { b.state.Apply(vm, accountant.Report{Life: "1"}, begin) }},
-		{"quarantined", func(_ *bed, vm *accountant.VM) { vm.Health.QuarantineTo = begin.Add(time.Second) }},
-		{"of another service", func(_ *bed, vm *accountant.VM) { vm.Service = "other" }},
-		{"with a run of unknown size", func(b *bed, vm *accountant.VM) {
+		{"not connected", func(b *fixture, vm *accountant.VM) { b.state.Detach(vm) }},
+		{"draining", func(b *fixture, vm *accountant.VM) { b.state.Apply(vm, accountant.Report{Life: "1"}, begin) }},
+		{"quarantined", func(_ *fixture, vm *accountant.VM) { vm.Health.QuarantineTo = begin.Add(time.Second) }},
+		{"of another service", func(_ *fixture, vm *accountant.VM) { vm.Service = "other" }},
+		{"with a run of unknown size", func(b *fixture, vm *accountant.VM) {
 			b.state.Apply(vm, accountant.Report{Life: "1", Ready: true, Runs: []accountant.ReportedRun{{
 				Key: accountant.RunKey{Task: specifier.TaskID{Job: "ended"}, Number: 1}, Confirmed: true,
 			}}}, begin)
@@ -109,31 +109,31 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(specifier.Queue{Name: "q", Service: "s"})
+			b := newFixture(specifier.Queue{Name: "q", Service: "s"})
 			vm := b.vm("vm", "in", "r1", cores(8))
 			vm.Service = "s"
 			b.job("q", specifier.Step{Count: 1, Needs: cores(1)})
 			if len(b.plan(begin)) != 1 {
-				t.Fatal("nothing starts on a sound VM")
+				t.Fatal("no task starts on a healthy VM")
 			}
 			tt.change(b, vm)
 			if got := b.plan(begin); len(got) != 0 {
 				t.Errorf("%d tasks start", len(got))
 			}
-			if why := Explain(Input{Now: begin, State: b.state}, b.state.Jobs[jobID(1)].Occurrences[0].Steps[0]); why != "1 VMs "+tt.name && why != "1 VMs leaving or silent" {
-				t.Errorf("explained as %q", why)
+			if why := Explain(Input{Now: begin, State: b.state}, b.state.Jobs[jobID(1)].Occurrences[0].Steps[0]); why != "1 VMs "+tt.name && why != "1 VMs draining or out of contact" {
+				t.Errorf("explanation is %q", why)
 			}
 		})
 	}
 }
 
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
-	b := newBed()
+	b := newFixture()
 	b.vm("one", "in", "r1", cores(4))
 	two := b.vm("two", "in", "r1", cores(3))
 	b.job("q", specifier.Step{Count: 4, Needs: cores(2), Gang: true})
 	if got := b.plan(begin); len(got) != 0 {
-		t.Fatalf("%d of 4 members start with room for 3", len(got))
+		t.Fatalf("%d of 4 members start with capacity for 3", len(got))
 	}
 	two.Capacity = cores(4)
 	starts := b.plan(begin)
@@ -147,12 +147,12 @@
 }
 
 func TestMaxPerVM(t *testing.T) {
-	b := newBed()
+	b := newFixture()
 	b.vm("one", "in", "r1", cores(8))
 	b.vm("two", "in", "r1", cores(8))
 	b.job("q", specifier.Step{Count: 6, Needs: cores(1), MaxPerVM: 2})
 	count := make(map[string]int)
-	for _, vm := range places(b.plan(begin)) {
+	for _, vm := range vmsByTask(b.plan(begin)) {
 		count[vm]++
 	}
 	if diff := cmp.Diff(map[string]int{"one": 2, "two": 2}, count); diff != "" {
@@ -167,53 +167,53 @@
 	short := specifier.Step{Count: 1, Needs: cores(1), EstimateMillis: 1000}
 	tests := []struct {
 		name string
-		jobs func(b *bed)
+		jobs func(b *fixture)
 		now  time.Duration
 		want int // job whose task starts first
 	}{
-		{"priority", func(b *bed) { b.job("batch", short); b.job("urgent", long) }, 0, 2},
-		{"earlier deadline", func(b *bed) { b.job("batch", long); b.job("batch", short) }, 0, 2},
-		{"in time before late", func(b *bed) { b.job("batch", short); b.job("batch", long) }, 4 * time.Second, 2},
-		{"late before hopeless", func(b *bed) { b.job("batch", short); b.job("batch", long) }, 14 * time.Second, 2},
+		{"priority", func(b *fixture) { b.job("batch", short); b.job("urgent", long) }, 0, 2},
+		{"earlier deadline", func(b *fixture) { b.job("batch", long); b.job("batch", short) }, 0, 2},
+		{"on time before late", func(b *fixture) { b.job("batch", short); b.job("batch", long) }, 4 * time.Second, 2},
+		{"late before too late", func(b *fixture) { b.job("batch", short); b.job("batch", long) }, 14 * time.Second, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(urgent, batch)
+			b := newFixture(urgent, batch)
 			b.vm("vm", "in", "r1", cores(1))
 			tt.jobs(b)
 			starts := b.plan(begin.Add(tt.now))
 			if len(starts) != 1 || starts[0].Task.ID().Job != jobID(tt.want) {
-				t.Errorf("starts %v", places(starts))
+				t.Errorf("starts %v", vmsByTask(starts))
 			}
 		})
 	}
 }
 
-// Lasting tasks serve users; tasks that fill disturb them. The two are kept apart
-// while there is room apart.
-func TestFillingTasksKeepAwayFromLastingOnes(t *testing.T) {
-	b := newBed()
+// Long-running tasks serve users, and best-effort tasks interfere with them. The two are
+// placed on different VMs as long as there is enough capacity.
+func TestBestEffortAvoidsLongRunningTasks(t *testing.T) {
+	b := newFixture()
 	one := b.vm("one", "in", "r1", cores(32))
 	b.vm("two", "in", "r1", cores(32))
-	lasting := b.job("q", specifier.Step{Count: 2, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"})
+	longRunning := b.job("q", specifier.Step{Count: 2, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"})
 	for _, s := range b.plan(begin) {
 		b.state.Place(s.Task, s.VM, s.Number, begin)
 	}
 	if one.Lasting != 2 {
-		t.Fatalf("%d of 2 lasting tasks share a VM", one.Lasting)
+		t.Fatalf("%d of 2 long-running tasks share a VM", one.Lasting)
 	}
 	b.job("q", specifier.Step{Count: 4, Needs: cores(4), Fills: true, Image: "f"})
-	for task, vm := range places(b.plan(begin)) {
+	for task, vm := range vmsByTask(b.plan(begin)) {
 		if vm != "two" {
-			t.Errorf("%s fills beside the lasting tasks of %s", task, lasting.Spec.ID)
+			t.Errorf("%s starts on the VM of the long-running tasks of %s", task, longRunning.Spec.ID)
 		}
 	}
 }
 
-// A filling image that was seen to break a lasting image's target goes elsewhere,
-// and waits if there is no other place; another image may still come.
-func TestDisturbingImageIsKeptAway(t *testing.T) {
-	b := newBed()
+// A best-effort image that made a long-running image miss its target is placed on another VM,
+// and waits if there is none; other images are still admitted.
+func TestInterferingImageIsKeptOff(t *testing.T) {
+	b := newFixture()
 	vm := b.vm("one", "in", "r1", cores(32))
 	b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"})
 	for _, s := range b.plan(begin) {
@@ -223,22 +223,22 @@
 	for n := range 20 {
 		at := begin.Add(time.Duration(n) * 300 * time.Millisecond)
 		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 2.4, At: at})
-		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 0.3, Use: learner.Use{"loud": 0.15}, At: at})
-		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 2.3, Use: learner.Use{"quiet": 0.25}, At: at})
+		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 0.3, Use: learner.Use{"interfering": 0.15}, At: at})
+		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 2.3, Use: learner.Use{"harmless": 0.25}, At: at})
 	}
-	for _, image := range []string{"loud", "quiet"} {
+	for _, image := range []string{"interfering", "harmless"} {
 		b.job("q", specifier.Step{Count: 1, Needs: cores(4), Fills: true, Image: image})
 	}
 	starts := Plan(Input{Now: begin, State: b.state, Learner: known})
-	if len(starts) != 1 || starts[0].Task.Step.Spec.Image != "quiet" {
-		t.Errorf("starts %v beside the lasting task of %s", places(starts), vm.Name)
+	if len(starts) != 1 || starts[0].Task.Step.Spec.Image != "harmless" {
+		t.Errorf("starts %v next to the long-running task of %s", vmsByTask(starts), vm.Name)
 	}
 }
 
-// A quarantined VM takes one task when its time is over, not the whole queue: if
-// the worker still fails everything, one run is lost and not dozens.
+// Once its quarantine has expired, a VM gets one task, not the whole queue: if the worker
+// still fails everything, one run is lost and not dozens.
 func TestQuarantinedVMIsProbedByOneTask(t *testing.T) {
-	b := newBed()
+	b := newFixture()
 	vm := b.vm("vm", "in", "r1", cores(32))
 	vm.Health.Times = 1
 	b.job("q", specifier.Step{Count: 8, Needs: cores(1)})
@@ -247,11 +247,10 @@
 	}
 }
 
-// TestNeverOverCapacity: whatever is submitted, a round leaves no VM over its
-// capacity, and starts no task twice.
+// Whatever is submitted, a round exceeds the capacity of no VM and starts no task twice.
 func TestNeverOverCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBed()
+		b := newFixture()
 		for i := range rapid.IntRange(1, 4).Draw(t, "vms") {
 			b.vm(fmt.Sprint("vm-", i), "in", fmt.Sprint("r", i%2), cores(rapid.Int64Range(1, 16).Draw(t, "size")))
 		}
@@ -281,9 +280,9 @@
 	})
 }
 
-// Guards against a backlog in which all jobs are begun and none ends in time: those nearly
-// done go first, and large ones are not left behind for small ones.
-func TestOrderUnderABacklog(t *testing.T) {
+// Guards against a backlog in which all jobs are started and none is completed in time: those
+// nearly done go first, and large ones are not delayed for small ones.
+func TestOrderUnderBacklog(t *testing.T) {
 	queue := specifier.Queue{Name: "batch", Slack: 4, Target: 10 * time.Second}
 	wide := specifier.Step{Count: 8, Needs: cores(1), EstimateMillis: 1000}
 	next := specifier.Step{Count: 8, Needs: cores(1), EstimateMillis: 1000, After: []int{0}}
@@ -291,19 +290,19 @@
 	tests := []struct {
 		name    string
 		jobs    []specifier.Job // steps only
-		done    map[int]int     // tasks that are done, by job from 1
-		stretch float64         // what tasks take over what they declare
+		done    map[int]int     // completed tasks, by job number from 1
+		stretch float64         // actual over declared duration of tasks
 		now     time.Duration
 		want    int // job whose task starts first
 	}{
-		{"of equal jobs the one nearly done", []specifier.Job{{Steps: []specifier.Step{wide, next}}, {Steps: []specifier.Step{wide, next}}}, map[int]int{2: 6}, 1, 0, 2},
-		{"a large one that came first before a small one", []specifier.Job{{Steps: []specifier.Step{wide}}, {Steps: []specifier.Step{small}}}, nil, 1, 0, 1},
-		{"a large one half done before a small one", []specifier.Job{{Steps: []specifier.Step{wide}}, {Steps: []specifier.Step{small}}}, map[int]int{1: 6}, 1, 0, 1},
-		{"one that tasks as slow as they are would make late goes after one in time", []specifier.Job{{Steps: []specifier.Step{wide, next}}, {Steps: []specifier.Step{wide}}}, map[int]int{1: 7}, 8, 5 * time.Second, 2},
+		{"one nearly done before an equal one", []specifier.Job{{Steps: []specifier.Step{wide, next}}, {Steps: []specifier.Step{wide, next}}}, map[int]int{2: 6}, 1, 0, 2},
+		{"a large one accepted first before a small one", []specifier.Job{{Steps: []specifier.Step{wide}}, {Steps: []specifier.Step{small}}}, nil, 1, 0, 1},
+		{"a large one mostly done before a small one", []specifier.Job{{Steps: []specifier.Step{wide}}, {Steps: []specifier.Step{small}}}, map[int]int{1: 6}, 1, 0, 1},
+		{"one that would be late at the present speed of tasks after one on time", []specifier.Job{{Steps: []specifier.Step{wide, next}}, {Steps: []specifier.Step{wide}}}, map[int]int{1: 7}, 8, 5 * time.Second, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(queue)
+			b := newFixture(queue)
 			for _, j := range tt.jobs {
 				b.job("batch", j.Steps...)
 			}
@@ -317,14 +316,14 @@
 			b.stretch(vm, tt.stretch)
 			starts := b.plan(begin.Add(tt.now))
 			if len(starts) != 1 || starts[0].Task.ID().Job != jobID(tt.want) {
-				t.Errorf("starts %v, want of job %d", places(starts), tt.want)
+				t.Errorf("starts %v, want of job %d", vmsByTask(starts), tt.want)
 			}
 		})
 	}
 }
 
-// stretch lets runs of the queue have taken so many times what they declared.
-func (b *bed) stretch(vm *accountant.VM, factor float64) {
+// stretch completes runs of the queue whose durations are a multiple of those declared.
+func (b *fixture) stretch(vm *accountant.VM, factor float64) {
 	j := b.job("batch", specifier.Step{Count: 200, Needs: cores(1), EstimateMillis: 1000})
 	for _, t := range j.Occurrences[0].Steps[0].Tasks {
 		r := b.state.Place(t, vm, 1, begin)
--- a/internal/job/planner/preempt.go
+++ b/internal/job/planner/preempt.go
@@ -6,63 +6,64 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Preemptions returns the filling runs to stop for lasting tasks of queues that come before
-// theirs. They answer filling tasks that stand nearly still under a backlog and hold all
-// memory for as long: their processors are nobody's, but what they hold is not.
+// Preemptions returns the best-effort runs to stop for long-running tasks of queues with
+// precedence over theirs. They cover best-effort tasks that make almost no progress under a
+// backlog and hold all memory meanwhile: their processors are available to other tasks, but
+// their memory is not.
 func Preemptions(in Input) (runs []*accountant.Run) {
 	r := newRound(in)
-	for _, t := range r.claimants() {
-		if r.rooms == nil {
-			r.openRooms()
+	for _, t := range r.reservationCandidates() {
+		if r.vmStates == nil {
+			r.loadVMs()
 		}
-		if r.claimed++; r.claimed > max(claimsAtOnce, len(r.rooms)/claimVMs) {
+		if r.reservationsRequested++; r.reservationsRequested > max(maxReservations, len(r.vmStates)/vmsPerReservation) {
 			break
 		}
-		if best := r.choose(t.Step, t, r.countOf(t.Step)); best != nil {
-			r.place(t, best, 0) // the next round of placement starts it
+		if best := r.choose(t.Step, t, r.runCounts(t.Step)); best != nil {
+			r.place(t, best, 0) // the next placement round starts it
 			continue
 		}
 		m, stops := r.preempt(t)
 		if m == nil {
 			continue
 		}
-		m.hold(t)
+		m.reserve(t)
 		runs = append(runs, stops...)
 		if len(stops) > 0 {
 			r.preempted++
 		}
-		if r.preempted == preemptionsAtOnce {
+		if r.preempted == maxPreemptions {
 			break
 		}
 	}
 	return runs
 }
 
-// claimants returns the tasks for which room may be held, those before that were at work and
-// have been away longest.
-func (r *round) claimants() []*accountant.Task {
+// reservationCandidates returns the tasks for which capacity may be reserved, first those that
+// were running, in the order of the time for which they have been unavailable.
+func (r *round) reservationCandidates() []*accountant.Task {
 	steps := r.state.WaitingSteps(r.now)
 	found := r.overdueTasks(steps)
 	for _, s := range steps {
 		for _, t := range s.Tasks {
-			if !t.Ran && r.claims(t) {
+			if !t.Ran && r.needsReservation(t) {
 				found = append(found, t)
-				break // the others of the step need as much
+				break // the other tasks of the step need as much
 			}
 		}
 	}
 	return found
 }
 
-// preempt returns the VM on which a claim is met with least work thrown away, and the runs
-// to stop there; none if runs that are being stopped already leave enough.
-func (r *round) preempt(t *accountant.Task) (best *room, stops []*accountant.Run) {
+// preempt returns the VM on which a task fits with the least work lost, and the runs to stop
+// there; none if runs that are already being stopped leave enough.
+func (r *round) preempt(t *accountant.Task) (best *vmState, stops []*accountant.Run) {
 	least := 0.0
-	for _, m := range r.rooms {
-		if !r.mayClaim(t, m) {
+	for _, m := range r.vmStates {
+		if !r.mayReserve(t, m) {
 			continue
 		}
-		found, loss, ok := r.stopsFor(t, m)
+		found, loss, ok := r.runsToStop(t, m)
 		if ok && (best == nil || loss < least) {
 			best, stops, least = m, found, loss
 		}
@@ -73,10 +74,10 @@
 	return best, stops
 }
 
-// stopsFor returns the filling runs of a VM whose stops leave enough memory for a task, and
-// how much is lost by them: core-seconds, and a little for each run.
-func (r *round) stopsFor(t *accountant.Task, m *room) (stops []*accountant.Run, loss float64, ok bool) {
-	left := m.freeOnceStopped()
+// runsToStop returns the best-effort runs of a VM to stop so that it has enough memory for a
+// task, and the cost of this: lost core-seconds and a fixed cost per run.
+func (r *round) runsToStop(t *accountant.Task, m *vmState) (stops []*accountant.Run, loss float64, ok bool) {
+	left := m.freeAfterStops()
 	for run := range r.stopped {
 		if run.VM == m.vm {
 			left = left.Add(run.Step().Spec.Committed())
@@ -87,10 +88,10 @@
 	if enough() {
 		return nil, 0, true
 	}
-	for _, run := range r.preemptable(m.vm, t.Step.Occurrence.Job.Queue.Priority) {
+	for _, run := range r.preemptible(m.vm, t.Step.Occurrence.Job.Queue.Priority) {
 		stops = append(stops, run)
 		left = left.Add(run.Step().Spec.Committed())
-		loss += lossOfStop + lostBy(run).Seconds()*float64(run.Step().Spec.Needs.CPUMillis)/coreMillis
+		loss += stopCost + lostWork(run).Seconds()*float64(run.Step().Spec.Needs.CPUMillis)/millisPerCore
 		if enough() {
 			return stops, loss, true
 		}
@@ -98,12 +99,12 @@
 	return nil, 0, false
 }
 
-// lossOfStop is what a stop costs beside the work thrown away, in core-seconds.
-const lossOfStop = 1.0
+// stopCost is the cost of a stop in addition to the lost work, in core-seconds.
+const stopCost = 1.0
 
-// preemptable returns the filling runs of a VM that a task of the priority goes before, those
-// first by whose stops least is lost.
-func (r *round) preemptable(vm *accountant.VM, priority int) []*accountant.Run {
+// preemptible returns the best-effort runs of a VM that a task of the priority takes
+// precedence over, sorted by the work that a stop loses.
+func (r *round) preemptible(vm *accountant.VM, priority int) []*accountant.Run {
 	var runs []*accountant.Run
 	for _, run := range vm.Runs {
 		s := run.Step()
@@ -111,6 +112,6 @@
 			runs = append(runs, run)
 		}
 	}
-	slices.SortFunc(runs, byLoss)
+	slices.SortFunc(runs, byLostWork)
 	return runs
 }
--- a/internal/job/planner/score.go
+++ b/internal/job/planner/score.go
@@ -2,7 +2,7 @@
 
 import "bamboospread/internal/job/accountant"
 
-// score orders VMs for a task; the first difference decides, higher is better.
+// score ranks VMs for a task; the first differing element decides, higher is better.
 type score [4]float64
 
 func (s score) above(o score) bool {
@@ -14,13 +14,13 @@
 	return false
 }
 
-// rate scores a VM for a task.
+// scoreVM scores a VM for a task.
 //
-// Lasting tasks serve users and are disturbed by tasks that fill. So the two are
-// kept apart: lasting tasks are packed on few VMs, tasks that fill go where the
-// fewest lasting ones are, and other tasks, which disturb nobody, go beside the
-// lasting ones and leave idle processors elsewhere to those that fill.
-func rate(m *room, s *accountant.Step, t *accountant.Task, running int, takes float64) score {
+// Best-effort tasks interfere with long-running ones, which serve users, so the two are
+// separated: long-running tasks are packed on few VMs, and best-effort tasks go where there
+// are fewest of them. Other tasks, which do not interfere, go on the VMs of long-running tasks
+// and leave idle processors elsewhere to best-effort tasks.
+func scoreVM(m *vmState, s *accountant.Step, t *accountant.Task, running int, cost float64) score {
 	spec := s.Spec
 	var sc score
 	if t.Shunned[m.vm.Name] {
@@ -41,20 +41,20 @@
 	free := float64(m.free.CPUMillis) / float64(max(m.vm.Capacity.CPUMillis, 1))
 	switch {
 	case spec.Fills:
-		sc[1] = m.fillRoom()/float64(max(m.vm.Capacity.CPUMillis, 1)) - takes
+		sc[1] = m.bestEffortCapacity()/float64(max(m.vm.Capacity.CPUMillis, 1)) - cost
 	case spec.Lasting:
-		sc[1] = -takes
-		sc[2] = float64(m.lasting)
+		sc[1] = -cost
+		sc[2] = float64(m.longRunning)
 		sc[3] = -free
 	default:
-		sc[1] = float64(min(m.lasting, 1))
+		sc[1] = float64(min(m.longRunning, 1))
 		sc[2] = free
 	}
 	sc[3] -= float64(running)
 	return sc
 }
 
-// rackShare is the share of the step's live runs that are on a rack.
+// rackShare is the share of the step's current runs that are on a rack.
 func rackShare(s *accountant.Step, rack string) float64 {
 	here, all := 0, 0
 	for _, t := range s.Tasks {
