--- a/internal/control/placer/baseline.go
+++ b/internal/control/placer/baseline.go
@@ -1,21 +1,21 @@
 package placer
 
-// firstOf returns the first VM that takes the task.
-func (r *round) firstOf(t *Task) (candidate, bool) {
-	if t.Service != "" { // replicas are spread under every policy
-		return r.bestOf(t, 0, len(r.vms))
+// firstFit returns the first VM that can accept the task.
+func (r *round) firstFit(t *Task) (candidate, bool) {
+	if t.Service != "" { // every policy spreads replicas
+		return r.bestAmong(t, 0, len(r.vms))
 	}
 	for i := range r.vms {
-		if r.refusal(t, i) == "" {
+		if r.refusalReason(t, i) == "" {
 			return candidate{at: i}, true
 		}
 	}
 	return candidate{}, false
 }
 
-// headroomRefusal leaves a fixed share of the processors of a VM free if a
-// service runs on it.
-func (r *round) headroomRefusal(t *Task, v *vmState) string {
+// headroomRefusalReason keeps a fixed share of the processors free on a VM that
+// runs a service.
+func (r *round) headroomRefusalReason(t *Task, v *vmState) string {
 	if len(v.vm.Services) == 0 {
 		return ""
 	}
--- a/internal/control/placer/bench_test.go
+++ b/internal/control/placer/bench_test.go
@@ -8,8 +8,8 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// largeCell is a cell of the given size in the steady state at the letter's
-// ratios, with some tasks queued.
+// largeCell returns a cell of the given size in steady state, with some queued
+// tasks.
 func largeCell(vms, tasks, waiting int) Snapshot {
 	s := Snapshot{Now: start.Add(time.Hour), Fleet: describer.New(fleetOf()), VMs: vmsOf(vms, "a", "b"), EvictionsLeft: 10}
 	for i := range s.VMs {
@@ -37,7 +37,9 @@
 	return s
 }
 
-// BenchmarkPlan measures a round: go test -bench Plan ./internal/control/placer.
+// BenchmarkPlan measures a round:
+//
+//	go test -bench Plan ./internal/control/placer
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ vms, tasks, waiting int }{
 		{100, 2200, 22},
--- a/internal/control/placer/drain.go
+++ b/internal/control/placer/drain.go
@@ -5,55 +5,56 @@
 	"strconv"
 )
 
-// drain evicts what runs in zones that are out and on VMs that leave, under the
-// budget. A batch task that can't be checkpointed stays: moving it would lose
-// its work for certain, staying may not. A replica goes only once enough others
-// run elsewhere. What has run longest goes first: it has the most to lose if the
-// budget doesn't last until the zone is gone.
+// drain evicts tasks from zones that are out and from leaving VMs, within the
+// eviction budget. Batch tasks that cannot be checkpointed stay: an eviction is
+// certain to lose their work, staying is not. A replica is evicted only once
+// enough other replicas run elsewhere. The longest-running tasks go first,
+// since they would lose the most work if the budget were used up before the
+// zone is lost.
 func (r *round) drain() {
-	var going []leaver
+	var candidates []drainCandidate
 	for at := range r.vms {
 		v := r.vms[at].vm
-		if !v.Reachable || !r.goes(v) {
+		if !v.Reachable || !r.mustDrain(v) {
 			continue
 		}
-		why := "VM leaves"
-		if r.s.Fleet.ZoneIsOut(v.Zone) {
-			why = "zone " + v.Zone + " is out"
+		reason := "VM is leaving"
+		if r.snapshot.Fleet.ZoneIsOut(v.Zone) {
+			reason = "zone " + v.Zone + " is out"
 		}
-		for _, i := range r.tasks[at] {
-			if t := &r.s.Placed[i]; !t.Stopping && r.mayDrain(t) {
-				going = append(going, leaver{t, v, why})
+		for _, i := range r.tasksOn[at] {
+			if t := &r.snapshot.Placed[i]; !t.Stopping && r.canDrain(t) {
+				candidates = append(candidates, drainCandidate{t, v, reason})
 			}
 		}
 	}
-	sort.SliceStable(going, func(i, j int) bool { return going[i].task.Started.Before(going[j].task.Started) })
-	for _, l := range going {
-		if r.evictions <= 0 {
+	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].task.Started.Before(candidates[j].task.Started) })
+	for _, c := range candidates {
+		if r.evictionsLeft <= 0 {
 			return
 		}
-		r.evict(l.task, l.why, map[string]string{"vm": l.vm.Name, "zone": l.vm.Zone})
+		r.evict(c.task, c.reason, map[string]string{"vm": c.vm.Name, "zone": c.vm.Zone})
 	}
 }
 
-// leaver is a task that has to leave its VM.
-type leaver struct {
-	task *Task
-	vm   *VM
-	why  string
+// drainCandidate is a task that has to leave its VM.
+type drainCandidate struct {
+	task   *Task
+	vm     *VM
+	reason string
 }
 
-func (r *round) mayDrain(t *Task) bool {
+func (r *round) canDrain(t *Task) bool {
 	if t.Service == "" {
 		return t.Checkpoint
 	}
-	s, ok := r.s.Fleet.Service(t.Service)
-	return !ok || r.spread[t.Service].elsewhere >= s.Replicas
+	s, ok := r.snapshot.Fleet.Service(t.Service)
+	return !ok || r.replicas[t.Service].staying >= s.Replicas
 }
 
 func (r *round) evict(t *Task, reason string, inputs map[string]string) {
-	r.evictions--
-	r.moving[t.ID] = true
-	inputs["evictions-left"] = strconv.Itoa(r.evictions)
+	r.evictionsLeft--
+	r.evicted[t.ID] = true
+	inputs["evictions-left"] = strconv.Itoa(r.evictionsLeft)
 	r.plan.Evictions = append(r.plan.Evictions, Eviction{TaskID: t.ID, Reason: reason, Inputs: inputs})
 }
--- a/internal/control/placer/filter.go
+++ b/internal/control/placer/filter.go
@@ -7,31 +7,32 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// Reasons for which nothing starts on a VM.
+// Reasons why no task can start on a VM.
 const (
 	blockedUnreachable = "not reachable"
 	blockedLeaving     = "leaving"
 	blockedQuarantined = "quarantined"
-	blockedZoneOut     = "zone is out, or not in the fleet text"
+	blockedZoneOut     = "zone is out or not in the fleet text"
 )
 
-// Reasons for which a task does not start on a VM that takes others.
+// Reasons why a task cannot start on a VM that accepts other tasks.
 const (
-	refusedRoom     = "no room"
-	refusedReserved = "kept free for a larger task that waits"
-	refusedAvoid    = "the task failed there"
-	refusedRefill   = "its zone fills up gradually"
-	refusedHeadroom = "headroom beside a service"
-	refusedPressure = "a service there would miss its objective"
+	refusedCapacity     = "not enough free capacity"
+	refusedReserved     = "reserved for a large task that has waited long"
+	refusedFailedBefore = "an earlier attempt of the task failed there"
+	refusedZoneRefill   = "its zone has just returned and is refilled gradually"
+	refusedHeadroom     = "processors are kept free for a service"
+	refusedInterference = "a service there would miss its objective"
 )
 
-// Terms of the gradual refill: a returned VM takes this share of its capacity
-// at once and the rest in step with the time.
-const refillAtOnce = 0.1
+// initialRefillShare is the share of its capacity that a VM of a returned zone
+// accepts immediately. The limit rises linearly to the full capacity over
+// Config.RefillTime.
+const initialRefillShare = 0.1
 
 func (r *round) blockedReason(v *VM) string {
 	switch {
-	case r.s.Fleet.ZoneIsOut(v.Zone):
+	case r.snapshot.Fleet.ZoneIsOut(v.Zone):
 		return blockedZoneOut
 	case !v.Reachable:
 		return blockedUnreachable
@@ -43,33 +44,34 @@
 	return ""
 }
 
-// refusal tells why a task may not start on a VM; empty: it may.
-func (r *round) refusal(t *Task, at int) string {
+// refusalReason returns why the task cannot start on the VM, or "" if it can.
+func (r *round) refusalReason(t *Task, at int) string {
 	v := &r.vms[at]
 	switch {
 	case v.blocked != "":
 		return v.blocked
 	case !t.Needs.Fits(v.free):
-		return refusedRoom
+		return refusedCapacity
 	case v.reserved != "" && v.reserved != t.ID:
 		return refusedReserved
 	case r.avoids(t, v.vm):
-		return refusedAvoid
+		return refusedFailedBefore
 	case !r.refillAllows(t, v):
-		return refusedRefill
+		return refusedZoneRefill
 	}
-	return r.policyRefusal(t, v)
+	return r.policyRefusalReason(t, v)
 }
 
-// refillAllows keeps a returned zone from being filled in one round: a herd of
-// starts would hit workers, stores of images and services at their coldest. The
-// share of the VM that may be committed rises with the time since the return,
-// so that the limit doesn't depend on the rate of rounds; one task always may.
+// refillAllows limits how fast a returned zone is filled. If it were filled in
+// one round, all its tasks would start at once and overload workers, image
+// stores and services while their caches are cold. The share of the VM that may
+// be committed grows with the time since the return, so the limit does not
+// depend on how often rounds run. One task may always start.
 func (r *round) refillAllows(t *Task, v *vmState) bool {
 	if v.vm.ReturnedAt.IsZero() || t.Service != "" {
 		return true
 	}
-	since := r.s.Now.Sub(v.vm.ReturnedAt)
+	since := r.snapshot.Now.Sub(v.vm.ReturnedAt)
 	if since >= r.config.RefillTime {
 		return true
 	}
@@ -77,11 +79,11 @@
 	if used == (describer.Resources{}) {
 		return true
 	}
-	allowed := refillAtOnce + (1-refillAtOnce)*float64(since)/float64(r.config.RefillTime)
+	allowed := initialRefillShare + (1-initialRefillShare)*float64(since)/float64(r.config.RefillTime)
 	return dominantShare(used.Add(t.Needs), v.vm.Total) <= allowed
 }
 
-// failureKey groups tasks that meet the same refusals.
+// failureKey groups tasks that are refused for the same reasons.
 type failureKey struct {
 	needs   describer.Resources
 	class   string
@@ -89,21 +91,22 @@
 	urgent  bool
 }
 
-// failure is why a task found no VM in this round.
+// failure records why a task found no VM in this round.
 type failure struct {
 	reason    string
 	submitted time.Time
 }
 
-func keyOf(t *Task) failureKey {
+func newFailureKey(t *Task) failureKey {
 	return failureKey{needs: t.Needs, class: t.Class, service: t.Service, urgent: t.Urgent}
 }
 
-// waitReason tells why no VM takes a task: the commonest refusal with counts.
+// waitReason returns why no VM accepts a task: the most frequent refusal
+// reason, with its count.
 func (r *round) waitReason(t *Task) string {
 	counts := make(map[string]int)
 	for i := range r.vms {
-		counts[r.refusal(t, i)]++
+		counts[r.refusalReason(t, i)]++
 	}
 	best := ""
 	for reason, n := range counts {
@@ -112,7 +115,7 @@
 		}
 	}
 	if best == "" {
-		return "no VM is known"
+		return "the cell has no known VM"
 	}
-	return fmt.Sprintf("no VM takes it: %s on %d of %d VMs", best, counts[best], len(r.vms))
+	return fmt.Sprintf("no VM accepts the task: %s on %d of %d VMs", best, counts[best], len(r.vms))
 }
--- a/internal/control/placer/helpers_test.go
+++ b/internal/control/placer/helpers_test.go
@@ -39,21 +39,21 @@
 	return Task{ID: id, Tenant: tenant, Class: "label", Needs: needs, Checkpoint: true, Submitted: start}
 }
 
-// world applies plans, as the owner of a cell does, without any delay.
-type world struct {
+// cellModel applies plans as the owner of a cell does, without delay.
+type cellModel struct {
 	s Snapshot
 }
 
-func (w *world) vm(name string) *VM {
-	for i := range w.s.VMs {
-		if w.s.VMs[i].Name == name {
-			return &w.s.VMs[i]
+func (m *cellModel) vm(name string) *VM {
+	for i := range m.s.VMs {
+		if m.s.VMs[i].Name == name {
+			return &m.s.VMs[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) apply(p Plan) {
+func (m *cellModel) apply(p Plan) {
 	started := make(map[string]string)
 	for _, st := range p.Starts {
 		started[st.TaskID] = st.VM
@@ -63,44 +63,44 @@
 		held[h.TaskID] = true
 	}
 	var rest []Task
-	for _, t := range w.s.Queued {
+	for _, t := range m.s.Queued {
 		switch vm, ok := started[t.ID]; {
 		case ok:
-			t.VM, t.Started = vm, w.s.Now
-			v := w.vm(vm)
+			t.VM, t.Started = vm, m.s.Now
+			v := m.vm(vm)
 			v.Committed = v.Committed.Add(t.Needs)
-			w.s.Placed = append(w.s.Placed, t)
+			m.s.Placed = append(m.s.Placed, t)
 		case !held[t.ID]:
 			rest = append(rest, t)
 		}
 	}
-	w.s.Queued = rest
+	m.s.Queued = rest
 	for _, th := range p.Throttles {
-		t := w.placed(th.TaskID)
+		t := m.placed(th.TaskID)
 		t.Percent = th.Percent
-		w.vm(t.VM).Acted = w.s.Now
+		m.vm(t.VM).Acted = m.s.Now
 	}
 	for _, e := range p.Evictions {
-		w.vm(w.placed(e.TaskID).VM).Acted = w.s.Now
-		w.end(e.TaskID)
+		m.vm(m.placed(e.TaskID).VM).Acted = m.s.Now
+		m.end(e.TaskID)
 	}
 }
 
-func (w *world) placed(id string) *Task {
-	for i := range w.s.Placed {
-		if w.s.Placed[i].ID == id {
-			return &w.s.Placed[i]
+func (m *cellModel) placed(id string) *Task {
+	for i := range m.s.Placed {
+		if m.s.Placed[i].ID == id {
+			return &m.s.Placed[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) end(id string) {
-	for i, t := range w.s.Placed {
+func (m *cellModel) end(id string) {
+	for i, t := range m.s.Placed {
 		if t.ID == id {
-			v := w.vm(t.VM)
+			v := m.vm(t.VM)
 			v.Committed = v.Committed.Sub(t.Needs)
-			w.s.Placed = append(w.s.Placed[:i], w.s.Placed[i+1:]...)
+			m.s.Placed = append(m.s.Placed[:i], m.s.Placed[i+1:]...)
 			return
 		}
 	}
@@ -114,9 +114,9 @@
 	return m
 }
 
-func wantReason(t *testing.T, got string) {
+func checkReason(t *testing.T, got string) {
 	t.Helper()
 	if got == "" {
-		t.Error("a decision carries no reason")
+		t.Error("a decision has no reason")
 	}
 }
--- a/internal/control/placer/ladder.go
+++ b/internal/control/placer/ladder.go
@@ -9,89 +9,92 @@
 
 const fullPercent = 100
 
-// throttleSteps are the shares of processor time of the ladder, in order.
+// throttleSteps are the throttle levels in the order they are applied, as
+// percentages of the full processor time.
 var throttleSteps = []int{70, 40, 20}
 
-// Terms of the ladder. A step needs several measurements that began after the
-// one before: a measurement lags, and steps taken on old ones would overshoot
-// and swing.
+// Thresholds of the ladder. Each step requires several measurements that began
+// after the previous step. Measurements lag, so steps based on older ones would
+// overshoot and oscillate.
 const (
-	raiseReports = 2
-	urgentAbove  = 2.0 // a single measurement above this is enough
-	relaxReports = 2
-	maxReports   = 4
+	throttleReports = 2
+	immediateAbove  = 2.0 // a single measurement above this pressure is enough to throttle
+	relaxReports    = 2
+	maxMoveReports  = 4
 )
 
-// limits are pressures at which something is done. Between relax and raise
-// nothing changes.
+// limits are the pressures at which the ladder acts. Between relaxBelow and
+// throttleAbove it changes nothing.
 type limits struct {
-	raise float64 // above, tasks are throttled
-	aim   float64 // throttling aims for this
-	relax float64 // below, throttles may be relaxed
-	admit float64 // up to this predicted pressure tasks start and throttles are relaxed
+	throttleAbove float64 // tasks are throttled above this pressure
+	target        float64 // predicted pressure that throttling aims for
+	relaxBelow    float64 // throttles may be relaxed below this pressure
+	admitUpTo     float64 // highest predicted pressure at which tasks start and throttles are relaxed
 }
 
-// newLimits leans towards latency or throughput with the weights of the fleet.
+// newLimits shifts the limits towards latency or throughput according to the
+// policy weights of the fleet text.
 func newLimits(w weights) limits {
-	lean := max(-1, min(1, math.Log2((w.throughput+0.1)/(w.tail+0.1))))
+	bias := max(-1, min(1, math.Log2((w.throughput+0.1)/(w.tail+0.1))))
 	return limits{
-		raise: 1.0 + leanStep*lean, aim: 0.9 + leanStep*lean,
-		relax: 0.75 + leanStep*lean, admit: 0.85 + leanStep*lean,
+		throttleAbove: 1.0 + biasStep*bias, target: 0.9 + biasStep*bias,
+		relaxBelow: 0.75 + biasStep*bias, admitUpTo: 0.85 + biasStep*bias,
 	}
 }
 
-const leanStep = 0.05
+const biasStep = 0.05
 
-// climb takes at most one step of the ladder on each VM.
-func (r *round) climb() {
+// applyLadder takes at most one step of the ladder on each VM.
+func (r *round) applyLadder() {
 	if r.config.Ladder == LadderOff {
 		return
 	}
 	for at := range r.vms {
 		v := &r.vms[at]
-		if !v.vm.Reachable || r.goes(v.vm) {
+		if !v.vm.Reachable || r.mustDrain(v.vm) {
 			continue
 		}
-		if p, ok := r.pressed(v); ok {
-			r.relieve(at, p)
+		if miss, ok := r.worstMiss(v); ok {
+			r.mitigate(at, miss)
 		} else if v.throttled {
 			r.relax(at)
 		}
 	}
 }
 
-// pressing is a service that misses its objective on a VM.
-type pressing struct {
+// objectiveMiss is a service that misses its latency objective on a VM.
+type objectiveMiss struct {
 	service string
-	ratio   float64 // to the objective, as last measured
-	reports int     // measurements in a row that missed it
+	ratio   float64 // latest measured p99 divided by the objective
+	misses  int     // consecutive measurements that missed the objective
 }
 
-// pressed returns the service on a VM that misses its objective by most.
-func (r *round) pressed(v *vmState) (worst pressing, ok bool) {
+// worstMiss returns the service on a VM that misses its objective by the
+// largest factor.
+func (r *round) worstMiss(v *vmState) (worst objectiveMiss, ok bool) {
 	for _, s := range v.services {
-		windows := since(r.recent(v.vm.Name, s.name), v.vm.Acted)
+		windows := windowsSince(r.recent(v.vm.Name, s.name), v.vm.Acted)
 		if len(windows) == 0 || windows[0].Ratio <= worst.ratio {
 			continue
 		}
-		above := countWhile(windows, func(w Window) bool { return w.Ratio > r.limits.raise })
-		if above >= r.reportsNeeded(raiseReports) || windows[0].Ratio > urgentAbove {
-			worst, ok = pressing{s.name, windows[0].Ratio, above}, true
+		above := countLeading(windows, func(w Window) bool { return w.Ratio > r.limits.throttleAbove })
+		if above >= r.requiredReports(throttleReports) || windows[0].Ratio > immediateAbove {
+			worst, ok = objectiveMiss{s.name, windows[0].Ratio, above}, true
 		}
 	}
 	return worst, ok
 }
 
-// reportsNeeded is 1 for a caller that offers no history.
-func (r *round) reportsNeeded(n int) int {
-	if r.s.Recent == nil {
+// requiredReports returns n, or 1 if the caller provides no history.
+func (r *round) requiredReports(n int) int {
+	if r.snapshot.Recent == nil {
 		return 1
 	}
 	return n
 }
 
-// since keeps the measurements that began after a moment.
-func since(windows []Window, t time.Time) []Window {
+// windowsSince returns the measurements that began at or after t.
+func windowsSince(windows []Window, t time.Time) []Window {
 	n := 0
 	for n < len(windows) && !windows[n].From.Before(t) {
 		n++
@@ -99,7 +102,7 @@
 	return windows[:n]
 }
 
-func countWhile(windows []Window, ok func(Window) bool) int {
+func countLeading(windows []Window, ok func(Window) bool) int {
 	n := 0
 	for n < len(windows) && ok(windows[n]) {
 		n++
@@ -107,87 +110,89 @@
 	return n
 }
 
-// culprit is a batch task with its present effect on a service.
-type culprit struct {
+// interferer is a batch task that slows a service on its VM.
+type interferer struct {
 	task   *Task
-	effect float64 // logarithm, at the full share
+	effect float64 // logarithm of the slowdown when the task is not throttled
 }
 
-// culprits lists the batch tasks of a VM with at least an effect, the one with
-// the greatest first.
-func (r *round) culprits(at int, service string, least float64) (list []culprit, busy bool) {
-	for _, i := range r.tasks[at] {
-		t := &r.s.Placed[i]
+// interferers returns the batch tasks of a VM whose effect on a service is at
+// least minEffect, ordered by current effect with the greatest first. It also
+// reports whether a task there is already being stopped or moved.
+func (r *round) interferers(at int, service string, minEffect float64) (interfering []interferer, ending bool) {
+	for _, i := range r.tasksOn[at] {
+		t := &r.snapshot.Placed[i]
 		if t.Service != "" {
 			continue
 		}
-		if t.Stopping || r.moving[t.ID] {
-			busy = true // its going will bring relief: wait for the next report
+		if t.Stopping || r.evicted[t.ID] {
+			ending = true // the pressure will drop once it has ended: wait for the next report
 			continue
 		}
-		if e := r.effect(service, t.Class); e >= least {
-			list = append(list, culprit{task: t, effect: e})
+		if e := r.effect(service, t.Class); e >= minEffect {
+			interfering = append(interfering, interferer{task: t, effect: e})
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool {
-		return list[i].effect*share(list[i].task.Percent) > list[j].effect*share(list[j].task.Percent)
+	sort.SliceStable(interfering, func(i, j int) bool {
+		return interfering[i].effect*processorShare(interfering[i].task.Percent) > interfering[j].effect*processorShare(interfering[j].task.Percent)
 	})
-	return list, busy
+	return interfering, ending
 }
 
-// relieve throttles the tasks that disturb a service most until the predicted
-// pressure is back at the aim; when nothing is left to throttle, it moves the
-// worst one.
-func (r *round) relieve(at int, p pressing) {
-	list, busy := r.culprits(at, p.service, negligible)
-	if busy || len(list) == 0 {
+// mitigate throttles the tasks that interfere most with a service until the
+// predicted pressure is back at the target. If no task can be throttled
+// further, it moves the one that interferes most.
+func (r *round) mitigate(at int, miss objectiveMiss) {
+	interfering, ending := r.interferers(at, miss.service, negligibleEffect)
+	if ending || len(interfering) == 0 {
 		return
 	}
-	if r.config.Ladder == LadderFull && r.throttleDown(at, list, p) {
+	if r.config.Ladder == LadderFull && r.throttleInterferers(at, interfering, miss) {
 		return
 	}
-	if p.reports >= r.reportsNeeded(r.reportsToMove()) {
-		r.moveOne(at, list, p)
+	if miss.misses >= r.requiredReports(r.reportsBeforeMove()) {
+		r.moveWorst(at, interfering, miss)
 	}
 }
 
-// reportsToMove is the number of measurements in a row that justify a move: the
-// more evictions weigh beside latency, the more.
-func (r *round) reportsToMove() int {
-	n := math.Round(raiseReports * (r.weights.eviction + 0.1) / (r.weights.tail + 0.1))
-	return int(max(raiseReports, min(maxReports, n)))
+// reportsBeforeMove returns the number of consecutive misses required before a
+// task is moved. It grows with the weight of evictions relative to that of
+// latency.
+func (r *round) reportsBeforeMove() int {
+	n := math.Round(throttleReports * (r.weights.eviction + 0.1) / (r.weights.tail + 0.1))
+	return int(max(throttleReports, min(maxMoveReports, n)))
 }
 
-func (r *round) throttleDown(at int, list []culprit, p pressing) bool {
-	need := math.Log(p.ratio / r.limits.aim)
-	done := false
-	for _, c := range list {
-		if need <= 0 {
+func (r *round) throttleInterferers(at int, interfering []interferer, miss objectiveMiss) bool {
+	excess := math.Log(miss.ratio / r.limits.target)
+	throttled := false
+	for _, in := range interfering {
+		if excess <= 0 {
 			break
 		}
-		next, ok := lowerStep(c.task.Percent)
+		next, ok := lowerStep(in.task.Percent)
 		if !ok {
 			continue
 		}
-		need -= c.effect * (share(c.task.Percent) - share(next))
-		done = true
-		r.throttle(at, c, next, "service "+p.service+" misses its objective", p)
+		excess -= in.effect * (processorShare(in.task.Percent) - processorShare(next))
+		throttled = true
+		r.throttle(at, in, next, "service "+miss.service+" misses its objective", miss)
 	}
-	return done
+	return throttled
 }
 
-func (r *round) throttle(at int, c culprit, percent int, reason string, p pressing) {
+func (r *round) throttle(at int, in interferer, percent int, reason string, miss objectiveMiss) {
 	r.vms[at].throttled = r.vms[at].throttled || percent < fullPercent
 	r.plan.Throttles = append(r.plan.Throttles, Throttle{
-		TaskID: c.task.ID, Percent: percent, Reason: reason,
+		TaskID: in.task.ID, Percent: percent, Reason: reason,
 		Inputs: map[string]string{
-			"vm": r.vms[at].vm.Name, "service": p.service, "pressure": decimal(p.ratio),
-			"effect": decimal(math.Expm1(c.effect)), "percent-before": strconv.Itoa(int(share(c.task.Percent) * fullPercent)),
+			"vm": r.vms[at].vm.Name, "service": miss.service, "pressure": formatFloat(miss.ratio),
+			"effect": formatFloat(math.Expm1(in.effect)), "percent-before": strconv.Itoa(int(processorShare(in.task.Percent) * fullPercent)),
 		},
 	})
 }
 
-// lowerStep returns the next step below a share.
+// lowerStep returns the next throttle step below the given percentage.
 func lowerStep(percent int) (int, bool) {
 	for _, step := range throttleSteps {
 		if percent <= 0 || step < percent {
@@ -197,67 +202,70 @@
 	return 0, false
 }
 
-// highestStep returns the highest share whose further effect is within room.
-func (r *round) highestStep(c culprit, room float64) int {
+// highestStep returns the highest processor share whose additional effect on
+// the service is at most budget.
+func (r *round) highestStep(in interferer, budget float64) int {
 	for _, step := range append([]int{fullPercent}, throttleSteps...) {
-		if step > c.task.Percent && c.effect*(share(step)-share(c.task.Percent)) <= room {
+		if step > in.task.Percent && in.effect*(processorShare(step)-processorShare(in.task.Percent)) <= budget {
 			return step
 		}
 	}
-	return c.task.Percent
+	return in.task.Percent
 }
 
-// moveOne evicts the worst task for which another VM is predicted to do better.
-func (r *round) moveOne(at int, list []culprit, p pressing) {
-	for _, c := range list {
-		if r.evictions <= 0 {
+// moveWorst evicts the task that interferes most among those for which another
+// VM is predicted to be better.
+func (r *round) moveWorst(at int, interfering []interferer, miss objectiveMiss) {
+	for _, in := range interfering {
+		if r.evictionsLeft <= 0 {
 			return
 		}
-		if !c.task.Checkpoint {
+		if !in.task.Checkpoint {
 			continue
 		}
-		target, ok := r.best(c.task)
+		target, ok := r.bestVM(in.task)
 		if !ok || target.at == at {
 			continue
 		}
-		r.evict(c.task, "service "+p.service+" misses its objective and throttling is exhausted", map[string]string{
-			"vm": r.vms[at].vm.Name, "service": p.service, "pressure": decimal(p.ratio),
-			"effect": decimal(math.Expm1(c.effect)), "could-run-on": r.vms[target.at].vm.Name,
+		r.evict(in.task, "service "+miss.service+" misses its objective and throttling is exhausted", map[string]string{
+			"vm": r.vms[at].vm.Name, "service": miss.service, "pressure": formatFloat(miss.ratio),
+			"effect": formatFloat(math.Expm1(in.effect)), "could-run-on": r.vms[target.at].vm.Name,
 		})
 		return
 	}
 }
 
-// relax raises the shares of throttled tasks when every service of
+// relax raises the processor shares of throttled tasks once every service of
 // the VM has been well below its objective and is predicted to stay there. A VM
-// whose reports stopped keeps its throttles: silence is not idleness.
+// that sends no reports keeps its throttles: missing reports do not mean that
+// the VM is idle.
 func (r *round) relax(at int) {
 	v := &r.vms[at]
-	room := math.Inf(1)
-	var worst pressing
+	budget := math.Inf(1)
+	var worst objectiveMiss
 	for _, s := range v.services {
-		windows := since(r.recent(v.vm.Name, s.name), v.vm.Acted)
-		if countWhile(windows, func(w Window) bool { return w.Ratio < r.limits.relax }) < r.reportsNeeded(relaxReports) {
+		windows := windowsSince(r.recent(v.vm.Name, s.name), v.vm.Acted)
+		if countLeading(windows, func(w Window) bool { return w.Ratio < r.limits.relaxBelow }) < r.requiredReports(relaxReports) {
 			return
 		}
-		if left := math.Log(r.limits.admit) - s.log; left < room {
-			room, worst = left, pressing{service: s.name, ratio: windows[0].Ratio}
+		if left := math.Log(r.limits.admitUpTo) - s.logPressure; left < budget {
+			budget, worst = left, objectiveMiss{service: s.name, ratio: windows[0].Ratio}
 		}
 	}
-	list, busy := r.culprits(at, worst.service, 0)
-	if busy {
+	interfering, ending := r.interferers(at, worst.service, 0)
+	if ending {
 		return
 	}
-	for i := len(list) - 1; i >= 0; i-- { // least effect first
-		c := list[i]
-		if share(c.task.Percent) == 1 {
+	for i := len(interfering) - 1; i >= 0; i-- { // least effect first
+		in := interfering[i]
+		if processorShare(in.task.Percent) == 1 {
 			continue
 		}
-		next := r.highestStep(c, room)
-		if next == c.task.Percent {
+		next := r.highestStep(in, budget)
+		if next == in.task.Percent {
 			return
 		}
-		room -= c.effect * (share(next) - share(c.task.Percent))
-		r.throttle(at, c, next, "its services have been well within their objectives", worst)
+		budget -= in.effect * (processorShare(next) - processorShare(in.task.Percent))
+		r.throttle(at, in, next, "the services of the VM are well below their latency objectives", worst)
 	}
 }
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -1,6 +1,6 @@
-// Package placer decides which task starts, moves, is throttled or waits. All
-// functions are pure: they read a Snapshot and return decisions; time, network
-// and store stay with the caller.
+// Package placer decides which tasks start, move, are throttled or wait. All
+// functions are pure: they read a Snapshot and return decisions. The caller
+// provides the time and does all network and store access.
 package placer
 
 import (
@@ -9,24 +9,25 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// VM is a machine as the placer sees it.
+// VM describes a VM to the placer.
 type VM struct {
 	Name        string
 	Zone        string
 	Rack        string
 	Total       describer.Resources
-	Committed   describer.Resources // by everything that holds resources, also stopping tasks
+	Committed   describer.Resources // held by all tasks and upstreams, including stopping tasks
 	Reachable   bool
 	Leaving     bool
 	Quarantined bool
-	Services    []string  // services with an upstream or replica on the VM
-	ReturnedAt  time.Time // when its zone came back, zero if long ago
-	// Acted is when a throttle or eviction was last decided on the VM, zero if
-	// never. Measurements that began earlier don't lead to the next step.
+	Services    []string  // services with an upstream or a replica on the VM
+	ReturnedAt  time.Time // when its zone returned; zero if it did not return recently
+	// Acted is the time of the latest throttle or eviction decision for the VM,
+	// zero if there was none. Measurements that began earlier do not trigger
+	// the next step.
 	Acted time.Time
 }
 
-// Task is a task as the placer sees it.
+// Task describes a task to the placer.
 type Task struct {
 	ID         string
 	Tenant     string
@@ -35,13 +36,13 @@
 	Needs      describer.Resources
 	Urgent     bool
 	Checkpoint bool   // can be checkpointed
-	VM         string // where it holds resources; empty: queued
-	Stopping   bool   // a stop or checkpoint is under way
+	VM         string // VM on which it holds resources; empty if queued
+	Stopping   bool   // a stop or checkpoint is in progress
 	Submitted  time.Time
 	Started    time.Time
-	NotBefore  time.Time       // backoff after a failure
+	NotBefore  time.Time       // end of the backoff after a failure
 	Avoid      map[string]bool // VMs on which it failed
-	Percent    int             // throttle in force, 0 or 100: none
+	Percent    int             // current throttle; 0 or 100 if not throttled
 }
 
 // Window is one measurement of a service on a VM.
@@ -50,27 +51,29 @@
 	Ratio    float64 // p99 divided by the objective
 }
 
-// Snapshot is what a round decides on. The placer does not change it.
+// Snapshot is the input of a round. The placer does not change it.
 type Snapshot struct {
 	Now    time.Time
 	Fleet  *describer.Fleet
 	VMs    []VM
-	Queued []Task // in the order of submission
+	Queued []Task // in submission order
 	Placed []Task
-	// Interference predicts by how much a task class slows a service on one VM
-	// (0.2: 20% longer answers), and how sure that is (0 to 1). May be nil.
+	// Interference returns the predicted relative slowdown that one task of a
+	// class causes a service on the same VM (0.2: 20% higher latency), and the
+	// confidence in it (0 to 1). May be nil.
 	Interference func(service, class string) (slowdown, confidence float64)
-	// Pressure is the measured latency of a service on a VM divided by its
-	// objective; 0 if no report is recent. May be nil.
+	// Pressure returns the measured p99 of a service on a VM divided by its
+	// latency objective; 0 if there is no recent report. May be nil.
 	Pressure func(vm, service string) float64
 	// Recent returns the latest measurements of a service on a VM, newest
-	// first, and none if no report is recent. If nil, Pressure stands for one
-	// measurement that ends now.
+	// first; none if there is no recent report. If Recent is nil, the value of
+	// Pressure is used as a single measurement that ends now.
 	Recent func(vm, service string) []Window
-	// EvictionsLeft is the budget of planned evictions in this round.
+	// EvictionsLeft is the remaining budget of planned evictions.
 	EvictionsLeft int
-	// Unsettled tells that VMs of the cell may still be unknown, as after a
-	// change of owner: then nothing is held for being larger than every VM.
+	// Unsettled is set while some VMs of the cell may not be known yet, as
+	// after a change of owner. No task is then held for being larger than every
+	// VM.
 	Unsettled bool
 }
 
@@ -97,65 +100,66 @@
 	Inputs  map[string]string
 }
 
-// Hold marks a queued task that can never run as things are.
+// Hold holds a queued task that can never run under the current fleet text and
+// VMs.
 type Hold struct {
 	TaskID string
 	Reason string
 	Inputs map[string]string
 }
 
-// Plan is the outcome of a round.
+// Plan is the result of a round.
 type Plan struct {
 	Starts    []Start
 	Evictions []Eviction
 	Throttles []Throttle
 	Holds     []Hold
-	Waits     map[string]string // reason for each task that stays queued
+	Waits     map[string]string // reason for each task that stays queued, by task ID
 }
 
-// Policy names a way of placing.
+// Policy selects a placement policy.
 type Policy string
 
-// Policies. All but Learned are baselines to measure against.
+// Placement policies. All except PolicyLearned are baselines for comparison.
 const (
 	PolicyLearned        Policy = "learned"         // the default
-	PolicyNoLearning     Policy = "no-learning"     // as Learned, with one prior for every pair
-	PolicyFirstFit       Policy = "first-fit"       // the first VM with room
-	PolicyStaticHeadroom Policy = "static-headroom" // first fit that leaves processors free beside services
+	PolicyNoLearning     Policy = "no-learning"     // like PolicyLearned, with the same slowdown assumed for every service and task class
+	PolicyFirstFit       Policy = "first-fit"       // the first VM with enough free capacity
+	PolicyStaticHeadroom Policy = "static-headroom" // first fit that keeps processors free on VMs with services
 )
 
-// Ladder tells what is done against a service that misses its objective.
+// Ladder selects the actions taken when a service misses its latency objective.
 type Ladder string
 
-// Ladders.
+// Values of Ladder.
 const (
 	LadderFull      Ladder = "full"       // throttle, then checkpoint and move; the default
-	LadderEvictOnly Ladder = "evict-only" // checkpoint and move at once
-	LadderOff       Ladder = "off"        // nothing
+	LadderEvictOnly Ladder = "evict-only" // checkpoint and move without throttling first
+	LadderOff       Ladder = "off"        // no action
 )
 
-// Config holds the settings of a Placer; zero values take the defaults.
+// Config holds the settings of a Placer; zero values select the defaults.
 type Config struct {
-	MaxStarts     int           // in one round; default 256
-	Policy        Policy        // default PolicyLearned
-	Ladder        Ladder        // default LadderFull
-	Headroom      float64       // share of processors that PolicyStaticHeadroom leaves free; default 0.3
-	Candidates    int           // VMs that are weighed for a start; default 48; all, if fewer VMs exist
-	ReserveAfter  time.Duration // wait after which a large task gets a VM reserved; default 30 s
-	RefillTime    time.Duration // over which a returned zone fills up; default 60 s
-	UnknownEffect float64       // slowdown that an unknown pair is taken for; default 0.05
+	MaxStarts       int           // starts in one round; default 256
+	Policy          Policy        // default PolicyLearned
+	Ladder          Ladder        // default LadderFull
+	Headroom        float64       // share of processors that PolicyStaticHeadroom keeps free; default 0.3
+	Candidates      int           // VMs scored for a start; default 48; all in a cell of at most twice as many
+	ReserveAfter    time.Duration // wait after which a VM is reserved for a large task; default 30 s
+	RefillTime      time.Duration // time over which a returned zone is refilled; default 60 s
+	UnknownSlowdown float64       // slowdown assumed for a service and task class without data; default 0.05
 }
 
 const (
-	defaultMaxStarts     = 256
-	defaultHeadroom      = 0.3
-	defaultCandidates    = 48
-	defaultReserveAfter  = 30 * time.Second
-	defaultRefillTime    = time.Minute
-	defaultUnknownEffect = 0.05
+	defaultMaxStarts       = 256
+	defaultHeadroom        = 0.3
+	defaultCandidates      = 48
+	defaultReserveAfter    = 30 * time.Second
+	defaultRefillTime      = time.Minute
+	defaultUnknownSlowdown = 0.05
 )
 
-// Placer plans rounds. It keeps no state between them.
+// Placer plans rounds. It keeps no state between rounds.
 type Placer struct{ config Config }
 
 // New returns a Placer.
@@ -181,20 +185,21 @@
 	if c.RefillTime <= 0 {
 		c.RefillTime = defaultRefillTime
 	}
-	if c.UnknownEffect <= 0 {
-		c.UnknownEffect = defaultUnknownEffect
+	if c.UnknownSlowdown <= 0 {
+		c.UnknownSlowdown = defaultUnknownSlowdown
 	}
 	return &Placer{config: c}
 }
 
-// Plan decides one round: what can never run is held, work leaves zones and VMs
-// that go, services under pressure are relieved, then queued tasks start.
+// Plan decides one round in this order: hold tasks that can never run, drain
+// zones and VMs that must be vacated, apply the ladder to services that miss
+// their objectives, then start queued tasks.
 func (p *Placer) Plan(s Snapshot) Plan {
 	r := newRound(p.config, &s)
 	queue := r.holdImpossible()
-	r.demand = r.queuedDemand(queue)
+	r.relativeDemand = r.queuedDemand(queue)
 	r.drain()
-	r.climb()
+	r.applyLadder()
 	queue = r.startAged(queue)
 	r.startByShare(queue)
 	return r.plan
--- a/internal/control/placer/property_test.go
+++ b/internal/control/placer/property_test.go
@@ -13,7 +13,8 @@
 
 var policies = []Policy{PolicyLearned, PolicyNoLearning, PolicyFirstFit, PolicyStaticHeadroom}
 
-// drawSnapshot draws a cell in which committed room matches what is placed.
+// drawSnapshot draws a cell in which committed resources match the placed
+// tasks.
 func drawSnapshot(t *rapid.T) Snapshot {
 	resources := rapid.Custom(func(t *rapid.T) describer.Resources {
 		return describer.Resources{
@@ -71,25 +72,25 @@
 	return s
 }
 
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		p := New(Config{Policy: rapid.SampledFrom(policies).Draw(t, "policy")})
 		before := fmt.Sprintf("%+v", s.VMs)
 		plan := p.Plan(s)
 		if fmt.Sprintf("%+v", s.VMs) != before {
-			t.Fatal("the plan changed its snapshot")
+			t.Fatal("Plan changed its snapshot")
 		}
 		checkStarts(t, s, plan)
 		checkEvictions(t, s, plan)
 		if diff := cmp.Diff(plan, p.Plan(s)); diff != "" {
-			t.Fatalf("the same snapshot gave two plans: %s", diff)
+			t.Fatalf("two plans of the same snapshot differ: %s", diff)
 		}
 	})
 }
 
-// checkStarts checks that no VM and no quota is exceeded, that nothing starts
-// where it must not, and that each queued task has one verdict.
+// checkStarts checks that no VM capacity or quota is exceeded, that no task
+// starts on a blocked VM, and that each queued task has exactly one decision.
 func checkStarts(t *rapid.T, s Snapshot, plan Plan) {
 	free, vms := make(map[string]describer.Resources), make(map[string]VM)
 	for _, v := range s.VMs {
@@ -109,27 +110,27 @@
 	for _, task := range s.Queued {
 		vm, ok := starts[task.ID]
 		_, waits := plan.Waits[task.ID]
-		if n := count(ok) + count(waits) + count(holds[task.ID]); n != 1 {
-			t.Fatalf("task %s has %d verdicts", task.ID, n)
+		if n := countTrue(ok) + countTrue(waits) + countTrue(holds[task.ID]); n != 1 {
+			t.Fatalf("task %s has %d decisions, want 1", task.ID, n)
 		}
 		if !ok {
 			continue
 		}
 		v := vms[vm]
 		if v.Leaving || !v.Reachable || v.Quarantined || s.Fleet.ZoneIsOut(v.Zone) {
-			t.Fatalf("start on %+v", v)
+			t.Fatalf("task %s starts on blocked VM %+v", task.ID, v)
 		}
 		if free[vm] = free[vm].Sub(task.Needs); !(describer.Resources{}).Fits(free[vm]) {
-			t.Fatalf("VM %s is exceeded: %+v", vm, free[vm])
+			t.Fatalf("capacity of VM %s is exceeded: %+v free", vm, free[vm])
 		}
 		tenant, _ := s.Fleet.Tenant(task.Tenant)
 		if used[task.Tenant] = used[task.Tenant].Add(task.Needs); !withinQuota(used[task.Tenant], tenant.Quota) && task.Needs != (describer.Resources{}) {
-			t.Fatalf("quota of %s is exceeded: %+v", task.Tenant, used[task.Tenant])
+			t.Fatalf("quota of tenant %s is exceeded: %+v used", task.Tenant, used[task.Tenant])
 		}
 	}
 }
 
-func count(b bool) int {
+func countTrue(b bool) int {
 	if b {
 		return 1
 	}
@@ -143,16 +144,17 @@
 	seen := make(map[string]bool)
 	for _, e := range plan.Evictions {
 		if seen[e.TaskID] || e.Reason == "" {
-			t.Fatalf("eviction %+v is doubled or unexplained", e)
+			t.Fatalf("eviction %+v is a duplicate or has no reason", e)
 		}
 		seen[e.TaskID] = true
 	}
 }
 
-func TestImpossibleTaskBlocksNobody(t *testing.T) {
-	// A tenant submits tasks larger than any VM or than its quota ahead of
-	// others. Without a hold they would stay first in line and a VM would be
-	// kept free for them for ever. What starts is the same as without them.
+func TestImpossibleTaskDoesNotBlockOthers(t *testing.T) {
+	// A tenant submits a task larger than any VM or than its quota ahead of
+	// others. Without a hold it would stay at the head of the queue, and a VM
+	// would be reserved for it forever. The starts must be the same as without
+	// it.
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		if len(s.VMs) == 0 {
--- a/internal/control/placer/share.go
+++ b/internal/control/placer/share.go
@@ -8,17 +8,17 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// minWeight keeps a tenant with a tiny weight from dividing by zero.
+// minWeight prevents a division by zero for a tenant with a tiny weight.
 const minWeight = 0.01
 
-// tenantState is what a tenant holds and may hold.
+// tenantState is the current usage and the limits of a tenant.
 type tenantState struct {
 	name   string
 	quota  describer.Resources
 	weight float64
 	used   describer.Resources
 	share  float64 // dominant share of the cell, divided by the weight
-	queue  []int   // of the level that is being started
+	queue  []int   // queued tasks of the priority level that is being started
 }
 
 func (r *round) tenant(name string) *tenantState {
@@ -26,7 +26,7 @@
 		return ts
 	}
 	ts := &tenantState{name: name, weight: 1}
-	if t, ok := r.s.Fleet.Tenant(name); ok {
+	if t, ok := r.snapshot.Fleet.Tenant(name); ok {
 		ts.quota, ts.weight = t.Quota, max(t.Weight, minWeight)
 	}
 	r.tenants[name] = ts
@@ -38,15 +38,17 @@
 	ts.share = dominantShare(ts.used, total) / ts.weight
 }
 
-// withinQuota treats zero parts of a quota as no limit.
+// withinQuota reports whether used is within the quota. A zero quota for a
+// resource means no limit.
 func withinQuota(used, quota describer.Resources) bool {
 	return (quota.Millicores == 0 || used.Millicores <= quota.Millicores) &&
 		(quota.MemoryBytes == 0 || used.MemoryBytes <= quota.MemoryBytes) &&
 		(quota.Accelerators == 0 || used.Accelerators <= quota.Accelerators)
 }
 
-// level orders queued tasks before shares do: services, urgent work, the rest.
-func level(t *Task) int {
+// priorityLevel returns the priority level of a task, which takes precedence
+// over tenant shares: services first, then urgent tasks, then all others.
+func priorityLevel(t *Task) int {
 	switch {
 	case t.Service != "":
 		return 0
@@ -56,22 +58,22 @@
 	return 2
 }
 
-const levels = 3
+const priorityLevels = 3
 
-// startByShare starts queued tasks level by level; within a level the tenant
+// startByShare starts queued tasks level by level. Within a level the tenant
 // with the smallest dominant share goes next, with its oldest task. A task that
-// finds no VM waits and lets those behind it pass.
+// finds no VM does not block the tasks behind it.
 func (r *round) startByShare(queue []int) {
-	byLevel := make([][]int, levels)
+	byLevel := make([][]int, priorityLevels)
 	for _, i := range queue {
-		l := level(&r.s.Queued[i])
+		l := priorityLevel(&r.snapshot.Queued[i])
 		byLevel[l] = append(byLevel[l], i)
 	}
 	for _, tasks := range byLevel {
-		waiting := r.tenantsOf(tasks)
+		waiting := r.tenantsByShare(tasks)
 		for waiting.Len() > 0 {
 			ts := waiting[0]
-			t := &r.s.Queued[ts.queue[0]]
+			t := &r.snapshot.Queued[ts.queue[0]]
 			ts.queue = ts.queue[1:]
 			if reason := r.tryStart(t); reason != "" {
 				r.plan.Waits[t.ID] = reason
@@ -85,10 +87,10 @@
 	}
 }
 
-func (r *round) tenantsOf(tasks []int) byShare {
+func (r *round) tenantsByShare(tasks []int) byShare {
 	var waiting byShare
 	for _, i := range tasks {
-		ts := r.tenant(r.s.Queued[i].Tenant)
+		ts := r.tenant(r.snapshot.Queued[i].Tenant)
 		if len(ts.queue) == 0 {
 			waiting = append(waiting, ts)
 		}
@@ -98,23 +100,23 @@
 	return waiting
 }
 
-// tryStart starts a task and returns "", or tells why it waits.
+// tryStart starts a task and returns "", or returns the reason why it waits.
 func (r *round) tryStart(t *Task) string {
 	if len(r.plan.Starts) >= r.config.MaxStarts {
-		return "this round has started as many tasks as it may"
+		return "limit of starts in this round is reached"
 	}
-	if wait := t.NotBefore.Sub(r.s.Now); wait > 0 {
-		return fmt.Sprintf("backs off until %s", t.NotBefore.UTC().Format(time.RFC3339))
+	if wait := t.NotBefore.Sub(r.snapshot.Now); wait > 0 {
+		return fmt.Sprintf("backoff after a failure until %s", t.NotBefore.UTC().Format(time.RFC3339))
 	}
 	ts := r.tenant(t.Tenant)
 	if !withinQuota(ts.used.Add(t.Needs), ts.quota) {
-		return "quota of tenant " + t.Tenant + " is used up"
+		return "quota of tenant " + t.Tenant + " is exhausted"
 	}
-	key := keyOf(t)
+	key := newFailureKey(t)
 	if f, ok := r.failed[key]; ok && !t.Submitted.Before(f.submitted) {
-		return f.reason // room only shrinks within a round, and a younger task may disturb less
+		return f.reason // capacity only shrinks within a round, and a younger task has a smaller effect allowance
 	}
-	c, ok := r.best(t)
+	c, ok := r.bestVM(t)
 	if !ok {
 		reason := r.waitReason(t)
 		if len(t.Avoid) == 0 {
@@ -131,9 +133,9 @@
 	r.plan.Starts = append(r.plan.Starts, Start{
 		TaskID: t.ID, VM: v.Name, Reason: r.startReason(t),
 		Inputs: map[string]string{
-			"policy": string(r.config.Policy), "zone": v.Zone, "score": decimal(c.score),
-			"interference": decimal(c.harm), "fragmentation": decimal(c.fragment),
-			"tenant-share": decimal(r.tenant(t.Tenant).share), "free": describe(r.vms[c.at].free),
+			"policy": string(r.config.Policy), "zone": v.Zone, "score": formatFloat(c.score),
+			"interference": formatFloat(c.interference), "fragmentation": formatFloat(c.fragmentation),
+			"tenant-share": formatFloat(r.tenant(t.Tenant).share), "free": formatResources(r.vms[c.at].free),
 		},
 	})
 	r.commit(t, c.at)
@@ -142,16 +144,16 @@
 func (r *round) startReason(t *Task) string {
 	switch {
 	case r.config.Policy == PolicyFirstFit:
-		return "first VM with room"
+		return "first VM with enough free capacity"
 	case r.config.Policy == PolicyStaticHeadroom:
-		return "first VM with room beside the headroom"
+		return "first VM with enough free capacity besides the headroom"
 	case t.Service != "":
-		return "best spread of the replicas over zones, racks and VMs"
+		return "best spread of replicas over zones, racks and VMs"
 	}
 	return "least predicted interference, then best fit"
 }
 
-// byShare is a heap of tenants by dominant share, by name if equal.
+// byShare is a heap of tenants ordered by dominant share, then by name.
 type byShare []*tenantState
 
 func (h byShare) Len() int { return len(h) }
--- a/internal/control/placer/share_test.go
+++ b/internal/control/placer/share_test.go
@@ -14,42 +14,42 @@
 )
 
 func TestSharesConverge(t *testing.T) {
-	// Tenants with more work than fits, tasks that end at random: dominant
-	// shares, divided by the weights, come to differ by one task at most.
+	// Each tenant has more queued tasks than fit, and tasks end at random.
+	// Dominant shares divided by the weights must converge.
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{1, rapid.Float64Range(0.5, 3).Draw(t, "w1"), rapid.Float64Range(0.5, 3).Draw(t, "w2")}
 		var tenants []describer.Tenant
-		for i, w := range weights {
-			tenants = append(tenants, describer.Tenant{Name: fmt.Sprint("t", i), Weight: w})
+		for i, weight := range weights {
+			tenants = append(tenants, describer.Tenant{Name: fmt.Sprint("t", i), Weight: weight})
 		}
-		w := world{s: Snapshot{Now: start, Fleet: describer.New(fleetOf(tenants...)), VMs: vmsOf(3, "a", "b")}}
+		m := cellModel{s: Snapshot{Now: start, Fleet: describer.New(fleetOf(tenants...)), VMs: vmsOf(3, "a", "b")}}
 		for i := range 900 {
-			w.s.Queued = append(w.s.Queued, queued(fmt.Sprint(i), fmt.Sprint("t", i/300), cores(1)))
+			m.s.Queued = append(m.s.Queued, queued(fmt.Sprint(i), fmt.Sprint("t", i/300), cores(1)))
 		}
 		p := New(Config{})
 		for range 30 {
-			w.s.Now = w.s.Now.Add(time.Second)
-			w.apply(p.Plan(w.s))
+			m.s.Now = m.s.Now.Add(time.Second)
+			m.apply(p.Plan(m.s))
 			for range 5 {
-				w.end(w.s.Placed[rapid.IntRange(0, len(w.s.Placed)-1).Draw(t, "ends")].ID)
+				m.end(m.s.Placed[rapid.IntRange(0, len(m.s.Placed)-1).Draw(t, "ends")].ID)
 			}
 		}
-		w.apply(p.Plan(w.s))
-		checkShares(t, &w, weights)
+		m.apply(p.Plan(m.s))
+		checkShares(t, &m, weights)
 	})
 }
 
-func checkShares(t *rapid.T, w *world, weights []float64) {
+func checkShares(t *rapid.T, m *cellModel, weights []float64) {
 	used := make([]float64, len(weights))
-	for _, task := range w.s.Placed {
+	for _, task := range m.s.Placed {
 		used[task.Tenant[1]-'0']++
 	}
-	least, most, slack := math.Inf(1), 0.0, 0.0
+	least, most, tolerance := math.Inf(1), 0.0, 0.0
 	for i, n := range used {
 		least, most = min(least, n/weights[i]), max(most, n/weights[i])
-		slack = max(slack, 1/weights[i])
+		tolerance = max(tolerance, 1/weights[i])
 	}
-	if most-least > 2*slack+1e-9 {
+	if most-least > 2*tolerance+1e-9 {
 		t.Fatalf("shares %v with weights %v", used, weights)
 	}
 }
@@ -66,23 +66,23 @@
 		quota  int64
 		queue  []Task
 		starts []string
-		waits  map[string]string // parts of the reasons
+		waits  map[string]string // substrings of the reasons
 	}{
 		{
-			name: "urgent work goes first", queue: []Task{queued("plain", "t0", cores(32)), urgent},
-			starts: []string{"urgent"}, waits: map[string]string{"plain": "no room"},
+			name: "urgent task goes first", queue: []Task{queued("plain", "t0", cores(32)), urgent},
+			starts: []string{"urgent"}, waits: map[string]string{"plain": "not enough free capacity"},
 		},
 		{
-			name: "a replica goes before urgent work", queue: []Task{queued("big", "t0", cores(32)), urgent, replica},
-			starts: []string{"replica", "urgent"}, waits: map[string]string{"big": "no room"},
+			name: "replica goes before urgent task", queue: []Task{queued("big", "t0", cores(32)), urgent, replica},
+			starts: []string{"replica", "urgent"}, waits: map[string]string{"big": "not enough free capacity"},
 		},
 		{
-			name: "urgent work stays within the quota", quota: 20, queue: []Task{urgent, queued("plain", "t1", cores(10)), queued("small", "t1", cores(4))},
+			name: "urgent task stays within the quota", quota: 20, queue: []Task{urgent, queued("plain", "t1", cores(10)), queued("small", "t1", cores(4))},
 			starts: []string{"urgent", "small"}, waits: map[string]string{"plain": "quota of tenant t1"},
 		},
 		{
-			name: "a backoff lets others pass", queue: []Task{backoff, queued("plain", "t0", cores(1))},
-			starts: []string{"plain"}, waits: map[string]string{"backoff": "backs off until"},
+			name: "task in backoff does not block others", queue: []Task{backoff, queued("plain", "t0", cores(1))},
+			starts: []string{"plain"}, waits: map[string]string{"backoff": "backoff after a failure until"},
 		},
 	}
 	for _, c := range cases {
@@ -92,7 +92,7 @@
 			var starts []string
 			for _, s := range plan.Starts {
 				starts = append(starts, s.TaskID)
-				wantReason(t, s.Reason)
+				checkReason(t, s.Reason)
 			}
 			if diff := cmp.Diff(c.starts, starts); diff != "" {
 				t.Error(diff)
@@ -107,30 +107,30 @@
 }
 
 func TestLargeTaskDoesNotStarve(t *testing.T) {
-	// Small tasks keep coming and each gap goes to one of them before it is
-	// large enough for the large task. Once that has waited, a VM is kept free
-	// for it and it starts.
-	w := world{s: Snapshot{Now: start, Fleet: describer.New(fleetOf()), VMs: vmsOf(3, "a")}}
+	// Small tasks keep arriving and use freed capacity before enough of it is
+	// free for the large task. Once the large task has waited long enough, a VM
+	// is reserved for it and it starts.
+	m := cellModel{s: Snapshot{Now: start, Fleet: describer.New(fleetOf()), VMs: vmsOf(3, "a")}}
 	p := New(Config{})
 	large := queued("large", "t0", cores(30))
 	next := 0
 	for round := range 200 {
 		for range 10 {
-			w.s.Queued = append(w.s.Queued, queued(fmt.Sprint(next), "t1", cores(2)))
+			m.s.Queued = append(m.s.Queued, queued(fmt.Sprint(next), "t1", cores(2)))
 			next++
 		}
 		if round == 10 {
-			large.Submitted = w.s.Now
-			w.s.Queued = append(w.s.Queued, large)
+			large.Submitted = m.s.Now
+			m.s.Queued = append(m.s.Queued, large)
 		}
-		w.apply(p.Plan(w.s))
-		if w.placed("large") != nil {
+		m.apply(p.Plan(m.s))
+		if m.placed("large") != nil {
 			return
 		}
-		for range 5 { // the oldest end
-			w.end(w.s.Placed[0].ID)
+		for range 5 { // the oldest tasks end
+			m.end(m.s.Placed[0].ID)
 		}
-		w.s.Now = w.s.Now.Add(time.Second)
+		m.s.Now = m.s.Now.Add(time.Second)
 	}
 	t.Fatal("the large task never started")
 }
@@ -142,15 +142,15 @@
 		name      string
 		task      Task
 		unsettled bool
-		reason    string // part; empty: not held
+		reason    string // substring; empty if not held
 		starts    bool
 	}{
-		{name: "beyond every VM", task: queued("x", "t0", cores(33)), reason: "beyond every VM"},
-		{name: "no accelerators", task: queued("x", "t0", describer.Resources{Accelerators: 1}), reason: "beyond every VM"},
-		{name: "beyond the quota", task: queued("x", "t1", cores(9)), reason: "quota of tenant t1"},
-		{name: "failed on all VMs", task: failed, starts: true},
+		{name: "larger than every VM", task: queued("x", "t0", cores(33)), reason: "more than any VM"},
+		{name: "no accelerators", task: queued("x", "t0", describer.Resources{Accelerators: 1}), reason: "more than any VM"},
+		{name: "larger than the quota", task: queued("x", "t1", cores(9)), reason: "quota of tenant t1"},
+		{name: "failed on every VM", task: failed, starts: true},
 		{name: "while VMs are still unknown", task: queued("x", "t0", cores(33)), unsettled: true},
-		{name: "a fitting task", task: queued("x", "t0", cores(32)), starts: true},
+		{name: "fits a VM", task: queued("x", "t0", cores(32)), starts: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/control/placer/starve_test.go
+++ b/internal/control/placer/starve_test.go
@@ -8,23 +8,23 @@
 )
 
 // A service misses its objective on every VM although no task runs there, and
-// the queued class is predicted to slow it threefold. The tenant sees its tasks
-// wait: first by prediction, then they must start all the same, one on a VM, or
-// an urgent one at once on any. Before, they waited for good (seen in
-// TestTaskNeverRunsTwice: 30 of 34 tasks never started).
+// the queued class is predicted to triple its latency. Tasks first wait because
+// of the prediction, then start anyway: one per VM, or an urgent task
+// immediately on any VM. Without this rule they waited forever (30 of 34 tasks
+// of TestTaskNeverRunsTwice never started).
 func TestPredictionsDoNotStarveTasks(t *testing.T) {
 	cases := []struct {
 		name    string
 		urgent  bool
 		waited  time.Duration
-		running bool // a disturbing task runs on each VM already
+		running bool // an interfering task already runs on each VM
 		starts  int
 	}{
-		{"young task waits", false, patience / 2, false, 0},
-		{"old task starts where nothing disturbs, one on a VM", false, patience, false, 2},
-		{"old task waits where another disturbs", false, patience, true, 0},
-		{"urgent task starts soon", true, urgentPatience / 2, false, 2},
-		{"urgent task starts in time beside another", true, urgentPatience, true, 3},
+		{"young task waits", false, overrideAfter / 2, false, 0},
+		{"old task starts where nothing interferes, one per VM", false, overrideAfter, false, 2},
+		{"old task waits where another task interferes", false, overrideAfter, true, 0},
+		{"urgent task starts early where nothing interferes", true, urgentOverrideAfter / 2, false, 2},
+		{"urgent task starts next to an interfering task", true, urgentOverrideAfter, true, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
