--- a/internal/control/bookkeeper/apply.go
+++ b/internal/control/bookkeeper/apply.go
@@ -7,26 +7,30 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// ErrOvercommitted is returned for a start that does not fit.
-type ErrOvercommitted struct{ Task, VM string }
+// OvercommitError is returned for a start that would exceed the capacity of the
+// VM.
+type OvercommitError struct{ Task, VM string }
 
-func (e ErrOvercommitted) Error() string {
-	return fmt.Sprintf("task %s does not fit on VM %s", e.Task, e.VM)
+func (e OvercommitError) Error() string {
+	return fmt.Sprintf("task %s does not fit on VM %s: committed resources would exceed its capacity", e.Task, e.VM)
 }
 
-// ErrOutOfPlace is returned for a record that does not follow from the state,
-// such as the end of an attempt that holds nothing. The state is unchanged.
-type ErrOutOfPlace struct{ Task, What string }
+// InvalidRecordError is returned for a record that is not valid in the current
+// state, such as the end of an attempt that holds no resources. The state is
+// unchanged. Subject is the task, VM or claim key of the record.
+type InvalidRecordError struct{ Subject, Reason string }
 
-func (e ErrOutOfPlace) Error() string { return fmt.Sprintf("task %s: %s", e.Task, e.What) }
+func (e InvalidRecordError) Error() string {
+	return fmt.Sprintf("record for %q rejected: %s", e.Subject, e.Reason)
+}
 
-// Apply changes the state by one record. A record that is refused leaves the
-// state as it was; a caller journals only records that were applied.
+// Apply applies one record to the state. A rejected record leaves the state
+// unchanged; the caller journals only records that were applied.
 func (b *Books) Apply(r Record) error {
 	if err := b.apply(&r); err != nil {
 		return err
 	}
-	b.note(r)
+	b.recordDecision(r)
 	return nil
 }
 
@@ -35,7 +39,7 @@
 	case r.TookOver != nil:
 		b.takeOver(r.TookOver)
 	case r.Settled != nil:
-		b.s.MaxLease = b.s.Settled
+		b.s.MaxLease = b.s.OwnLease
 	case r.VMSeen != nil || r.VMGone != nil || r.Quarantine != nil:
 		return b.applyVM(r)
 	case r.Claimed != nil || r.ClaimClosed != nil || r.ClaimsOld != nil:
@@ -45,11 +49,11 @@
 	case r.Submitted != nil:
 		return b.submit(r)
 	case r.Held != nil:
-		return b.change(r, r.Held.Task, messenger.TaskQueued, func(t *Task) {
+		return b.transition(r, r.Held.Task, messenger.TaskQueued, func(t *Task) {
 			t.State, t.Reason, t.Impossible = messenger.TaskHeld, r.Held.Reason, r.Held.Impossible
 		})
 	case r.Queued != nil:
-		return b.change(r, r.Queued.Task, messenger.TaskHeld, func(t *Task) {
+		return b.transition(r, r.Queued.Task, messenger.TaskHeld, func(t *Task) {
 			t.State, t.Reason, t.Impossible, t.Unheard = messenger.TaskQueued, "", false, false
 			if r.Queued.Checkpoint != "" {
 				t.Checkpoint = r.Queued.Checkpoint
@@ -58,18 +62,19 @@
 	case r.Cancelled != nil:
 		return b.cancel(r)
 	case r.DoneBefore != nil:
-		return b.doneBefore(r)
+		return b.completeByEarlierAttempt(r)
 	}
 	return nil
 }
 
-// doneBefore completes a task by an earlier attempt; one that runs is stopped.
-func (b *Books) doneBefore(r *Record) error {
+// completeByEarlierAttempt completes a task that an earlier attempt has
+// completed. If a later attempt runs, it is stopped.
+func (b *Books) completeByEarlierAttempt(r *Record) error {
 	t := b.s.Tasks[r.DoneBefore.Task]
 	if t == nil || t.Final() || r.DoneBefore.Attempt > t.Attempt {
-		return ErrOutOfPlace{r.DoneBefore.Task, "can't have been done before"}
+		return InvalidRecordError{r.DoneBefore.Task, fmt.Sprintf("task is unknown, has ended or has no attempt %d", r.DoneBefore.Attempt)}
 	}
-	b.alter(r, t, func(t *Task) {
+	b.update(r, t, func(t *Task) {
 		if t.Holds() {
 			t.State, t.Stop = messenger.TaskStopping, StopDone
 			return
@@ -81,43 +86,43 @@
 
 func (b *Books) takeOver(o *TookOver) {
 	b.s.Epoch, b.s.Owner, b.s.VMLease = o.Epoch, o.EntryID, o.VMLease
-	b.s.Settled = max(o.VMLease, o.OutageLease)
-	b.s.MaxLease = max(b.s.MaxLease, b.s.Settled)
+	b.s.OwnLease = max(o.VMLease, o.OutageLease)
+	b.s.MaxLease = max(b.s.MaxLease, b.s.OwnLease)
 }
 
-// change moves a task out of one state by f and keeps the indexes true.
-func (b *Books) change(r *Record, id string, from messenger.TaskState, f func(*Task)) error {
+// transition applies f to a task in state from and updates the indexes.
+func (b *Books) transition(r *Record, id string, from messenger.TaskState, f func(*Task)) error {
 	t := b.s.Tasks[id]
 	if t == nil || t.State != from {
-		return ErrOutOfPlace{id, fmt.Sprintf("is not %s", from)}
+		return InvalidRecordError{id, fmt.Sprintf("task is not in state %s", from)}
 	}
-	b.alter(r, t, f)
+	b.update(r, t, f)
 	return nil
 }
 
-func (b *Books) alter(r *Record, t *Task, f func(*Task)) {
-	b.leave(t)
+func (b *Books) update(r *Record, t *Task, f func(*Task)) {
+	b.removeFromIndexes(t)
 	f(t)
 	t.Changed = r.At
-	b.enter(t)
+	b.addToIndexes(t)
 	if t.Final() {
 		b.finish(t)
 	}
 }
 
-// finish forgets the oldest finished tasks beyond a number, so that state and
-// snapshots stay small.
+// finish records a task as finished and removes the oldest finished tasks above
+// maxFinished, so that state and snapshots stay small.
 func (b *Books) finish(t *Task) {
 	t.Spec.Payload = ""
 	for _, number := range t.Decisions {
-		b.forget(number)
+		b.dropDecision(number)
 	}
 	b.s.Finished = append(b.s.Finished, t.Spec.ID)
 	for len(b.s.Finished) > maxFinished {
 		old := b.s.Tasks[b.s.Finished[0]]
 		b.s.Finished = b.s.Finished[1:]
 		if old != nil {
-			b.leave(old)
+			b.removeFromIndexes(old)
 			delete(b.s.Tasks, old.Spec.ID)
 		}
 	}
@@ -126,7 +131,7 @@
 func (b *Books) submit(r *Record) error {
 	id := r.Submitted.Spec.ID
 	if b.s.Tasks[id] != nil {
-		return ErrOutOfPlace{id, "exists already"}
+		return InvalidRecordError{id, "task already exists"}
 	}
 	t := &Task{
 		Spec: r.Submitted.Spec, Digest: r.Submitted.Digest, Order: b.s.NextOrder,
@@ -134,16 +139,16 @@
 	}
 	b.s.NextOrder++
 	b.s.Tasks[id] = t
-	b.enter(t)
+	b.addToIndexes(t)
 	return nil
 }
 
 func (b *Books) cancel(r *Record) error {
 	t := b.s.Tasks[r.Cancelled.Task]
 	if t == nil || t.Final() || t.Holds() {
-		return ErrOutOfPlace{r.Cancelled.Task, "can't be cancelled at once"}
+		return InvalidRecordError{r.Cancelled.Task, "task is unknown, has ended or must be stopped first"}
 	}
-	b.alter(r, t, func(t *Task) { t.State, t.Reason = messenger.TaskCancelled, "" })
+	b.update(r, t, func(t *Task) { t.State, t.Reason = messenger.TaskCancelled, "" })
 	return nil
 }
 
@@ -152,23 +157,23 @@
 	case r.Started != nil:
 		return b.start(r)
 	case r.Confirmed != nil:
-		return b.attempt(r, r.Confirmed.Task, r.Confirmed.Attempt, func(t *Task) {
+		return b.changeAttempt(r, r.Confirmed.Task, r.Confirmed.Attempt, func(t *Task) {
 			t.Confirmed = true
 			if t.State == messenger.TaskStarting {
 				t.State = messenger.TaskRunning
 			}
 		})
 	case r.Stopping != nil:
-		return b.attempt(r, r.Stopping.Task, r.Stopping.Attempt, func(t *Task) {
+		return b.changeAttempt(r, r.Stopping.Task, r.Stopping.Attempt, func(t *Task) {
 			t.State = messenger.TaskStopping
-			if t.Stop != StopCancel && t.Stop != StopDone { // not undone by a move
+			if t.Stop != StopCancel && t.Stop != StopDone { // a move must not replace a cancellation or completion
 				t.Stop = r.Stopping.Kind
 			}
 		})
 	case r.Throttled != nil:
 		t := b.s.Tasks[r.Throttled.Task]
 		if t == nil || !t.Holds() {
-			return ErrOutOfPlace{r.Throttled.Task, "holds nothing"}
+			return InvalidRecordError{r.Throttled.Task, "task holds no resources"}
 		}
 		t.Percent = r.Throttled.Percent
 		return nil
@@ -176,29 +181,29 @@
 	return b.end(r)
 }
 
-// attempt changes a task only if exactly this attempt holds resources: a late
-// record of an earlier attempt must not touch the one that runs now.
-func (b *Books) attempt(r *Record, id string, attempt int64, f func(*Task)) error {
+// changeAttempt changes a task only if this attempt holds resources: a late
+// record of an earlier attempt must not affect the current one.
+func (b *Books) changeAttempt(r *Record, id string, attempt int64, f func(*Task)) error {
 	t := b.s.Tasks[id]
 	if t == nil || !t.Holds() || t.Attempt != attempt {
-		return ErrOutOfPlace{id, fmt.Sprintf("attempt %d holds nothing", attempt)}
+		return InvalidRecordError{id, fmt.Sprintf("attempt %d holds no resources", attempt)}
 	}
-	b.alter(r, t, f)
+	b.update(r, t, f)
 	return nil
 }
 
-// start is the only place that commits a task's needs on a VM. Whatever the
-// planner proposed, a start that would exceed the VM is refused here, before it
-// is journalled.
+// start is the only place that commits the resources of a task on a VM. A start
+// that would exceed the capacity of the VM is rejected here, before it is
+// journalled, whatever the placer decided.
 func (b *Books) start(r *Record) error {
 	t, v := b.s.Tasks[r.Started.Task], b.s.VMs[r.Started.VM]
 	if t == nil || v == nil || t.State != messenger.TaskQueued || r.Started.Attempt != t.Attempt+1 {
-		return ErrOutOfPlace{r.Started.Task, "can't start"}
+		return InvalidRecordError{r.Started.Task, fmt.Sprintf("attempt %d cannot start on VM %q: task or VM is unknown, task is not queued, or attempt is not the next one", r.Started.Attempt, r.Started.VM)}
 	}
 	if !b.Committed(r.Started.VM).Add(t.Spec.Needs).Fits(v.Seen.Capacity.Total) {
-		return ErrOvercommitted{r.Started.Task, r.Started.VM}
+		return OvercommitError{r.Started.Task, r.Started.VM}
 	}
-	b.alter(r, t, func(t *Task) {
+	b.update(r, t, func(t *Task) {
 		t.StartedOn, t.StartedBy, t.Confirmed = r.Started.VM, r.Started.Incarnation, false
 		t.State, t.VM, t.Attempt, t.Reason = messenger.TaskStarting, r.Started.VM, r.Started.Attempt, ""
 		t.Stop, t.Percent, t.NotBefore = "", 0, r.At
@@ -210,11 +215,11 @@
 	e := r.Ended
 	t := b.s.Tasks[e.Task]
 	if t == nil {
-		return ErrOutOfPlace{e.Task, "does not exist"}
+		return InvalidRecordError{e.Task, "task does not exist"}
 	}
 	vm := b.s.VMs[t.VM]
-	name := t.VM
-	err := b.attempt(r, e.Task, e.Attempt, func(t *Task) {
+	vmName := t.VM
+	err := b.changeAttempt(r, e.Task, e.Attempt, func(t *Task) {
 		t.State, t.Reason, t.NotBefore = e.Next, e.Reason, e.NotBefore
 		t.VM, t.Stop, t.Percent, t.Unheard = "", "", 0, e.Unheard
 		if e.Checkpoint != "" {
@@ -225,19 +230,20 @@
 		}
 		if e.Failed {
 			t.Failures++
-			if !slices.Contains(t.FailedOn, name) {
-				t.FailedOn = append(t.FailedOn, name)
+			if !slices.Contains(t.FailedOn, vmName) {
+				t.FailedOn = append(t.FailedOn, vmName)
 			}
 		}
 	})
 	if err == nil && vm != nil {
-		vm.judge(e)
+		vm.recordOutcome(e)
 	}
 	return err
 }
 
-// judge keeps the VM's record of different tasks that failed in a row.
-func (v *VM) judge(e *Ended) {
+// recordOutcome updates the list of different tasks that failed on the VM since
+// the last success.
+func (v *VM) recordOutcome(e *Ended) {
 	if e.Next == messenger.TaskCompleted {
 		v.Failing, v.Quarantines = nil, 0
 	}
@@ -257,14 +263,14 @@
 		v.Seen = *r.VMSeen
 	case r.VMGone != nil:
 		if len(b.onVM[r.VMGone.VM]) > 0 {
-			return ErrOutOfPlace{r.VMGone.VM, "VM still holds tasks"}
+			return InvalidRecordError{r.VMGone.VM, "VM cannot be removed, tasks hold its resources"}
 		}
 		delete(b.s.VMs, r.VMGone.VM)
 		delete(b.onVM, r.VMGone.VM)
 	case r.Quarantine != nil:
 		v := b.s.VMs[r.Quarantine.VM]
 		if v == nil {
-			return ErrOutOfPlace{r.Quarantine.VM, "no such VM"}
+			return InvalidRecordError{r.Quarantine.VM, "unknown VM"}
 		}
 		if r.Quarantine.Reason != "" {
 			v.Quarantines++
@@ -279,14 +285,14 @@
 	case r.Claimed != nil:
 		k := claimKey(r.Claimed.Tenant, r.Claimed.Key)
 		if b.s.Claims[k] != nil {
-			return ErrOutOfPlace{r.Claimed.Key, "is claimed already"}
+			return InvalidRecordError{r.Claimed.Key, "key is already claimed"}
 		}
 		b.s.Claims[k] = &Claim{Claimed: *r.Claimed, At: r.At, State: messenger.ClaimGranted}
 	case r.ClaimClosed != nil:
 		k := claimKey(r.ClaimClosed.Tenant, r.ClaimClosed.Key)
 		c := b.s.Claims[k]
 		if c == nil || c.RequestID != r.ClaimClosed.RequestID || c.State == messenger.ClaimSettled {
-			return ErrOutOfPlace{r.ClaimClosed.Key, "is not claimed by this request"}
+			return InvalidRecordError{r.ClaimClosed.Key, fmt.Sprintf("key has no open claim of request %q", r.ClaimClosed.RequestID)}
 		}
 		switch r.ClaimClosed.Outcome {
 		case messenger.OutcomeNotRun:
@@ -308,63 +314,63 @@
 	return nil
 }
 
-// keepAnswer bounds the bytes of all kept answers, which are part of each
-// snapshot: the oldest are dropped, and a repeat of their request learns only
-// that it ran.
+// keepAnswer limits the total size of kept answers, which are part of each
+// snapshot. The oldest bodies are dropped; a repeat of such a request gets only
+// the status that shows that it ran.
 func (b *Books) keepAnswer(key string, c *Claim) {
 	if c.Answer == nil || len(c.Answer.Body) == 0 {
 		return
 	}
-	b.s.Answered = append(b.s.Answered, keptAnswer{key, len(c.Answer.Body)})
-	b.s.Answers += len(c.Answer.Body)
-	for b.s.Answers > maxAnswerBytes {
-		oldest := b.s.Answered[0]
+	b.s.KeptAnswers = append(b.s.KeptAnswers, keptAnswer{key, len(c.Answer.Body)})
+	b.s.AnswerBytes += len(c.Answer.Body)
+	for b.s.AnswerBytes > maxAnswerBytes {
+		oldest := b.s.KeptAnswers[0]
 		if old := b.s.Claims[oldest.Claim]; old != nil && old.Answer != nil {
 			old.Answer = &messenger.KeptAnswer{Status: old.Answer.Status}
 		}
-		b.s.Answered = b.s.Answered[1:]
-		b.s.Answers -= oldest.Bytes
+		b.s.KeptAnswers = b.s.KeptAnswers[1:]
+		b.s.AnswerBytes -= oldest.Bytes
 	}
 }
 
 func (b *Books) dropAnswers(drop func(keptAnswer) bool) {
-	kept := b.s.Answered[:0]
-	for _, a := range b.s.Answered {
+	kept := b.s.KeptAnswers[:0]
+	for _, a := range b.s.KeptAnswers {
 		if drop(a) {
-			b.s.Answers -= a.Bytes
+			b.s.AnswerBytes -= a.Bytes
 			continue
 		}
 		kept = append(kept, a)
 	}
-	b.s.Answered = kept
+	b.s.KeptAnswers = kept
 }
 
-// note numbers a decision and keeps the last ones, for the cell and the last
-// few of each task.
-func (b *Books) note(r Record) {
+// recordDecision numbers a decision and stores it. The latest decisions of the
+// cell and the last few of each task are kept.
+func (b *Books) recordDecision(r Record) {
 	if r.Decision == nil {
 		return
 	}
 	d := *r.Decision
-	d.Number, d.Time, d.Epoch = b.s.NextEvent, r.At, b.s.Epoch
-	b.s.NextEvent++
+	d.Number, d.Time, d.Epoch = b.s.NextDecision, r.At, b.s.Epoch
+	b.s.NextDecision++
 	b.s.Decisions[d.Number] = &d
 	if t := b.s.Tasks[d.Task]; t != nil {
 		t.Decisions = append(t.Decisions, d.Number)
 		if len(t.Decisions) > maxTaskDecisions {
 			oldest := t.Decisions[0]
 			t.Decisions = t.Decisions[1:]
-			b.forget(oldest)
+			b.dropDecision(oldest)
 		}
 	}
-	b.forget(d.Number - maxDecisions)
+	b.dropDecision(d.Number - maxDecisions)
 }
 
-// forget drops a decision that is neither among the last of the cell nor among
-// the last of a task that has not ended.
-func (b *Books) forget(number int64) {
+// dropDecision drops a decision unless it is among the latest of the cell or
+// among the last of a task that has not ended.
+func (b *Books) dropDecision(number int64) {
 	d := b.s.Decisions[number]
-	if d == nil || number >= b.s.NextEvent-maxDecisions {
+	if d == nil || number >= b.s.NextDecision-maxDecisions {
 		return
 	}
 	if t := b.s.Tasks[d.Task]; t != nil && !t.Final() && slices.Contains(t.Decisions, number) {
--- a/internal/control/bookkeeper/bookkeeper.go
+++ b/internal/control/bookkeeper/bookkeeper.go
@@ -1,6 +1,6 @@
 // Package bookkeeper holds the state of a cell: its tasks, VMs, attempts and
-// claims. The state changes only by Apply, without clock, network or chance, so
-// that the same records always give the same state.
+// claims. The state changes only through Apply, which uses no clock, network or
+// randomness, so that the same records always give the same state.
 package bookkeeper
 
 import (
@@ -13,7 +13,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits of what is remembered.
+// Limits of the kept history.
 const (
 	maxDecisions     = 4096
 	maxTaskDecisions = 16
@@ -21,16 +21,16 @@
 	maxAnswerBytes   = 16 << 20 // of all kept answers together
 )
 
-// Task is a task in the books.
+// Task is the recorded state of a task.
 type Task struct {
 	Spec       messenger.TaskSpec  `json:"spec"`
 	Digest     string              `json:"digest"`
-	Order      int64               `json:"order"` // of submission
+	Order      int64               `json:"order"` // position in the submission order
 	State      messenger.TaskState `json:"state"`
 	Reason     string              `json:"reason,omitempty"`
 	Impossible bool                `json:"impossible,omitempty"`
-	Unheard    bool                `json:"unheard,omitempty"`    // held since it may have completed without a report
-	VM         string              `json:"vm,omitempty"`         // where it holds resources
+	Unheard    bool                `json:"unheard,omitempty"`    // held because it may have completed without a report
+	VM         string              `json:"vm,omitempty"`         // VM on which it holds resources
 	StartedOn  string              `json:"started-on,omitempty"` // VM of the latest attempt
 	StartedBy  int64               `json:"started-by,omitempty"` // incarnation of that VM's agent
 	Confirmed  bool                `json:"confirmed,omitempty"`  // the agent reported the latest attempt running
@@ -44,26 +44,27 @@
 	NotBefore  time.Time           `json:"not-before,omitzero"`
 	Submitted  time.Time           `json:"submitted"`
 	Changed    time.Time           `json:"changed"`
-	Decisions  []int64             `json:"decisions,omitempty"` // the last few
+	Decisions  []int64             `json:"decisions,omitempty"` // numbers of the last few decisions
 }
 
-// Holds tells whether the task holds resources of its VM.
+// Holds reports whether the task holds resources of its VM.
 func (t *Task) Holds() bool {
 	return t.State == messenger.TaskStarting || t.State == messenger.TaskRunning || t.State == messenger.TaskStopping
 }
 
-// Final tells whether the task has ended for good.
+// Final reports whether the task has completed or was cancelled.
 func (t *Task) Final() bool {
 	return t.State == messenger.TaskCompleted || t.State == messenger.TaskCancelled
 }
 
-// VM is a machine in the books.
+// VM is the recorded state of a VM.
 type VM struct {
 	Seen        VMSeen    `json:"seen"`
 	Quarantined string    `json:"quarantined,omitempty"`
 	Until       time.Time `json:"until,omitzero"`
-	Quarantines int       `json:"quarantines,omitempty"` // in a row without a success
-	// Failing names different tasks that failed on the VM since a success.
+	Quarantines int       `json:"quarantines,omitempty"` // consecutive quarantines without a success
+	// Failing lists the different tasks that failed on the VM since the last
+	// success.
 	Failing []string `json:"failing,omitempty"`
 }
 
@@ -75,31 +76,32 @@
 	Answer *messenger.KeptAnswer `json:"answer,omitempty"`
 }
 
-// state is the encoded form of the books.
+// state is the part of Books that is encoded in snapshots.
 type state struct {
-	Epoch     int64                         `json:"epoch"`
-	Owner     string                        `json:"owner"`
-	VMLease   time.Duration                 `json:"vm-lease"`
-	MaxLease  time.Duration                 `json:"max-lease"` // longest that any unsettled epoch may have granted
-	NextOrder int64                         `json:"next-order"`
-	NextEvent int64                         `json:"next-event"`
-	Tasks     map[string]*Task              `json:"tasks"`
-	VMs       map[string]*VM                `json:"vms"`
-	Claims    map[string]*Claim             `json:"claims"`
-	Decisions map[int64]*messenger.Decision `json:"decisions"`
-	Finished  []string                      `json:"finished"` // oldest first
-	Settled   time.Duration                 `json:"own-lease"`
-	Answered  []keptAnswer                  `json:"answered"` // claims with an answer, oldest first
-	Answers   int                           `json:"answers"`  // bytes of these
+	Epoch        int64                         `json:"epoch"`
+	Owner        string                        `json:"owner"`
+	VMLease      time.Duration                 `json:"vm-lease"`
+	MaxLease     time.Duration                 `json:"max-lease"` // longest lease that an epoch not yet reconciled may have granted
+	NextOrder    int64                         `json:"next-order"`
+	NextDecision int64                         `json:"next-event"`
+	Tasks        map[string]*Task              `json:"tasks"`
+	VMs          map[string]*VM                `json:"vms"`
+	Claims       map[string]*Claim             `json:"claims"`
+	Decisions    map[int64]*messenger.Decision `json:"decisions"`
+	Finished     []string                      `json:"finished"`  // oldest first
+	OwnLease     time.Duration                 `json:"own-lease"` // longest lease that the current owner may grant
+	KeptAnswers  []keptAnswer                  `json:"answered"`  // claims with an answer, oldest first
+	AnswerBytes  int                           `json:"answers"`   // total bytes of these answers
 }
 
-// keptAnswer names a claim whose answer is kept, with its size.
+// keptAnswer refers to a claim whose answer is kept and gives the size of its
+// body.
 type keptAnswer struct {
 	Claim string `json:"claim"`
 	Bytes int    `json:"bytes"`
 }
 
-// Books is the state of a cell. It belongs to one goroutine.
+// Books is the state of a cell. It must be used from a single goroutine.
 type Books struct {
 	s      state
 	onVM   map[string]map[string]*Task // tasks that hold resources, by VM
@@ -107,28 +109,28 @@
 	counts map[messenger.TaskState]int
 }
 
-// New returns empty books.
+// New returns the state of a cell without tasks, VMs or claims.
 func New() *Books {
 	b := &Books{s: state{
 		Tasks: make(map[string]*Task), VMs: make(map[string]*VM),
 		Claims: make(map[string]*Claim), Decisions: make(map[int64]*messenger.Decision),
-		NextEvent: 1, NextOrder: 1,
+		NextDecision: 1, NextOrder: 1,
 	}}
-	b.index()
+	b.buildIndexes()
 	return b
 }
 
-// Decode returns the books of a snapshot.
+// Decode returns the state encoded in a snapshot.
 func Decode(snapshot []byte) (*Books, error) {
 	b := New()
 	if err := json.Unmarshal(snapshot, &b.s); err != nil {
 		return nil, fmt.Errorf("decode snapshot of cell: %w", err)
 	}
-	b.index()
+	b.buildIndexes()
 	return b, nil
 }
 
-// Encode returns a snapshot; equal books give equal bytes.
+// Encode returns a snapshot. Equal states give equal bytes.
 func (b *Books) Encode() ([]byte, error) {
 	out, err := json.Marshal(b.s)
 	if err != nil {
@@ -137,16 +139,16 @@
 	return out, nil
 }
 
-func (b *Books) index() {
+func (b *Books) buildIndexes() {
 	b.onVM = make(map[string]map[string]*Task)
 	b.queued = make(map[string]*Task)
 	b.counts = make(map[messenger.TaskState]int)
 	for _, t := range b.s.Tasks {
-		b.enter(t)
+		b.addToIndexes(t)
 	}
 }
 
-func (b *Books) enter(t *Task) {
+func (b *Books) addToIndexes(t *Task) {
 	b.counts[t.State]++
 	switch {
 	case t.State == messenger.TaskQueued:
@@ -159,20 +161,20 @@
 	}
 }
 
-func (b *Books) leave(t *Task) {
+func (b *Books) removeFromIndexes(t *Task) {
 	b.counts[t.State]--
 	delete(b.queued, t.Spec.ID)
 	delete(b.onVM[t.VM], t.Spec.ID)
 }
 
-// Epoch returns the epoch of the last take-over.
+// Epoch returns the epoch of the latest takeover.
 func (b *Books) Epoch() int64 { return b.s.Epoch }
 
-// Owner returns the entry that took over last.
+// Owner returns the ID of the entry that took over last.
 func (b *Books) Owner() string { return b.s.Owner }
 
-// MaxLease returns the longest lease that may be in force on a VM by a grant of
-// an earlier owner.
+// MaxLease returns the longest lease that may still be in force on a VM through
+// a grant of an earlier owner.
 func (b *Books) MaxLease() time.Duration { return b.s.MaxLease }
 
 // Task returns a task, or nil. The caller must not change it.
@@ -181,25 +183,25 @@
 // VM returns a VM, or nil. The caller must not change it.
 func (b *Books) VM(name string) *VM { return b.s.VMs[name] }
 
-// VMs returns the names of all VMs in order.
+// VMs returns the names of all VMs in alphabetical order.
 func (b *Books) VMs() []string { return sortedKeys(b.s.VMs) }
 
-// Tasks returns all tasks in the order of submission.
-func (b *Books) Tasks() []*Task { return inOrder(b.s.Tasks) }
+// Tasks returns all tasks in submission order.
+func (b *Books) Tasks() []*Task { return inSubmissionOrder(b.s.Tasks) }
 
-// Queued returns the queued tasks in the order of submission.
-func (b *Books) Queued() []*Task { return inOrder(b.queued) }
+// Queued returns the queued tasks in submission order.
+func (b *Books) Queued() []*Task { return inSubmissionOrder(b.queued) }
 
 // CountQueued returns the number of queued tasks.
 func (b *Books) CountQueued() int { return len(b.queued) }
 
-// On returns the tasks that hold resources of a VM, in the order of submission.
-func (b *Books) On(vm string) []*Task { return inOrder(b.onVM[vm]) }
+// On returns the tasks that hold resources of a VM, in submission order.
+func (b *Books) On(vm string) []*Task { return inSubmissionOrder(b.onVM[vm]) }
 
 // CountOn returns how many tasks hold resources of a VM.
 func (b *Books) CountOn(vm string) int { return len(b.onVM[vm]) }
 
-// Counts returns the number of tasks by state.
+// Counts returns the number of tasks by state, without states that have none.
 func (b *Books) Counts() map[messenger.TaskState]int {
 	counts := make(map[messenger.TaskState]int, len(b.counts))
 	for s, n := range b.counts {
@@ -210,8 +212,8 @@
 	return counts
 }
 
-// Committed returns what tasks and upstreams hold of a VM. An upstream that is
-// a replica task's own counts once.
+// Committed returns the resources of a VM held by tasks and upstreams. An
+// upstream that belongs to a replica task counts once.
 func (b *Books) Committed(vm string) describer.Resources {
 	var sum describer.Resources
 	replicas := make(map[string]int64)
@@ -233,13 +235,14 @@
 	return sum
 }
 
-// Claim returns the claim of a tenant's key, or nil.
+// Claim returns the claim for a key of a tenant, or nil.
 func (b *Books) Claim(tenant, key string) *Claim { return b.s.Claims[claimKey(tenant, key)] }
 
-// CountClaims returns the number of claims kept.
+// CountClaims returns the number of claims.
 func (b *Books) CountClaims() int { return len(b.s.Claims) }
 
-// OldestClaim returns when the oldest claim was made; zero without claims.
+// OldestClaim returns when the oldest claim was made, or the zero time if there
+// are no claims.
 func (b *Books) OldestClaim() time.Time {
 	var oldest time.Time
 	for _, c := range b.s.Claims {
@@ -250,10 +253,10 @@
 	return oldest
 }
 
-// Decisions returns up to limit decisions with numbers above the given one.
+// Decisions returns up to limit decisions with numbers greater than above.
 func (b *Books) Decisions(above int64, limit int) []messenger.Decision {
 	var out []messenger.Decision
-	for n := max(above+1, b.s.NextEvent-maxDecisions); n < b.s.NextEvent && len(out) < limit; n++ {
+	for n := max(above+1, b.s.NextDecision-maxDecisions); n < b.s.NextDecision && len(out) < limit; n++ {
 		if d := b.s.Decisions[n]; d != nil {
 			out = append(out, *d)
 		}
@@ -275,7 +278,7 @@
 
 func claimKey(tenant, key string) string { return tenant + "\x00" + key }
 
-func inOrder(tasks map[string]*Task) []*Task {
+func inSubmissionOrder(tasks map[string]*Task) []*Task {
 	out := make([]*Task, 0, len(tasks))
 	for _, t := range tasks {
 		out = append(out, t)
@@ -293,7 +296,8 @@
 	return out
 }
 
-// NextOrder returns the place in the order of submission of the next task.
+// NextOrder returns the position that the next submitted task gets in the
+// submission order.
 func (b *Books) NextOrder() int64 { return b.s.NextOrder }
 
 // Count returns the number of tasks in one state.
--- a/internal/control/bookkeeper/bookkeeper_test.go
+++ b/internal/control/bookkeeper/bookkeeper_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC)
 
-// drawRecord returns any record, sensible or not, over a few tasks and VMs.
+// drawRecord returns a random record, valid or not, for a few tasks and VMs.
 func drawRecord(t *rapid.T, n int) Record {
 	pick := func(prefix string, many int) string {
 		return fmt.Sprintf("%s%d", prefix, rapid.IntRange(1, many).Draw(t, prefix))
@@ -69,15 +69,15 @@
 	return string(raw)
 }
 
-// TestReplayAfterCut journals what was applied, snapshots at any record, and
-// replays the rest on the decoded snapshot: the state is the same, and each
-// journalled record applies again.
-func TestReplayAfterCut(t *testing.T) {
+// TestReplayFromSnapshot takes a snapshot after a random record and replays the
+// records journalled after it on the decoded snapshot. The state must be the
+// same, and each journalled record must apply again.
+func TestReplayFromSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
 		var journal [][]byte
 		count := rapid.IntRange(1, 80).Draw(t, "records")
-		cut := rapid.IntRange(0, count).Draw(t, "cut")
+		snapshotAfter := rapid.IntRange(0, count).Draw(t, "cut")
 		snapshot, from := encode(t, b), 0
 		for n := range count {
 			r := drawRecord(t, n+1)
@@ -89,13 +89,13 @@
 			if b.Apply(r) == nil {
 				journal = append(journal, raw)
 			} else if after := encode(t, b); after != before {
-				t.Fatalf("a refused record changed the state: %s", cmp.Diff(before, after))
+				t.Fatalf("a rejected record changed the state: %s", cmp.Diff(before, after))
 			}
-			if n+1 == cut {
+			if n+1 == snapshotAfter {
 				snapshot, from = encode(t, b), len(journal)
 			}
 		}
-		again, err := Decode([]byte(snapshot))
+		replayed, err := Decode([]byte(snapshot))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,21 +104,22 @@
 			if err := json.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
-			if err := again.Apply(r); err != nil {
-				t.Fatalf("journalled record does not apply again: %v", err)
+			if err := replayed.Apply(r); err != nil {
+				t.Fatalf("journalled record is rejected on replay: %v", err)
 			}
 		}
-		if diff := cmp.Diff(encode(t, b), encode(t, again)); diff != "" {
+		if diff := cmp.Diff(encode(t, b), encode(t, replayed)); diff != "" {
 			t.Fatal(diff)
 		}
-		if diff := cmp.Diff(b.Counts(), again.Counts()); diff != "" {
+		if diff := cmp.Diff(b.Counts(), replayed.Counts()); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-// TestNeverOvercommits applies any records: what tasks hold of a VM never
-// exceeds it, and a task never holds two VMs.
+// TestNeverOvercommits applies random records. The resources that tasks hold on
+// a VM must never exceed its capacity, and a task must never hold resources of
+// two VMs.
 func TestNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
@@ -127,11 +128,11 @@
 			held := make(map[string]string)
 			for _, vm := range b.VMs() {
 				if c := b.Committed(vm); !c.Fits(b.VM(vm).Seen.Capacity.Total) {
-					t.Fatalf("%s is committed for %+v", vm, c)
+					t.Fatalf("VM %s is overcommitted: %+v", vm, c)
 				}
 				for _, task := range b.On(vm) {
 					if other, twice := held[task.Spec.ID]; twice {
-						t.Fatalf("%s holds %s and %s", task.Spec.ID, other, vm)
+						t.Fatalf("task %s holds resources of VMs %s and %s", task.Spec.ID, other, vm)
 					}
 					held[task.Spec.ID] = vm
 				}
@@ -140,8 +141,8 @@
 	})
 }
 
-// TestUpstreamsAreCommitted counts upstreams beside tasks; that of a replica
-// task counts once.
+// TestUpstreamsAreCommitted checks that upstreams count in addition to tasks,
+// and that the upstream of a replica task counts once.
 func TestUpstreamsAreCommitted(t *testing.T) {
 	needs := describer.Resources{Millicores: 300}
 	cases := []struct {
@@ -150,9 +151,9 @@
 		upstreams int64
 		want      int64
 	}{
-		{"upstreams of others", 0, 2, 600},
+		{"upstreams without replica tasks", 0, 2, 600},
 		{"a replica and its upstream", 1, 1, 300},
-		{"a replica before its upstream", 2, 1, 600},
+		{"second replica without an upstream yet", 2, 1, 600},
 		{"more upstreams than replicas", 1, 3, 900},
 	}
 	for _, c := range cases {
@@ -192,8 +193,8 @@
 	}
 }
 
-// TestAnswersAreBounded settles requests with large answers: the books keep the
-// latest and still know of each that it ran.
+// TestAnswersAreBounded closes claims with large answers. The state must keep
+// the latest answers and still record for each claim that its request ran.
 func TestAnswersAreBounded(t *testing.T) {
 	b := New()
 	body := make([]byte, 1<<20)
@@ -222,7 +223,7 @@
 	if want := maxAnswerBytes / len(body); whole != want {
 		t.Errorf("%d answers kept, want %d", whole, want)
 	}
-	if err := b.Apply(Record{At: start, ClaimsOld: &ClaimsOld{Before: start.Add(time.Hour)}}); err != nil || b.s.Answers != 0 || b.CountClaims() != 0 {
-		t.Errorf("after forgetting: %d bytes, %d claims, %v", b.s.Answers, b.CountClaims(), err)
+	if err := b.Apply(Record{At: start, ClaimsOld: &ClaimsOld{Before: start.Add(time.Hour)}}); err != nil || b.s.AnswerBytes != 0 || b.CountClaims() != 0 {
+		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", b.s.AnswerBytes, b.CountClaims(), err)
 	}
 }
--- a/internal/control/bookkeeper/record.go
+++ b/internal/control/bookkeeper/record.go
@@ -7,8 +7,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Record is one journalled fact. Exactly one of the pointers is set. Decision,
-// if set, is numbered and kept for explanations when the record is applied.
+// Record is one journalled state change. Exactly one of the pointers after
+// Decision is set. Decision, if set, is numbered and kept for explanations when
+// the record is applied.
 type Record struct {
 	At       time.Time           `json:"at"`
 	Decision *messenger.Decision `json:"decision,omitempty"`
@@ -33,9 +34,9 @@
 	ClaimsOld   *ClaimsOld     `json:"claims-old,omitempty"`
 }
 
-// TookOver opens an epoch and tells how long the leases are that its owner may
-// grant. It is journalled before the first grant, since nothing can be
-// journalled in the store outage for which the longer lease is meant.
+// TookOver starts an epoch and gives the lengths of the leases that its owner
+// may grant. It is journalled before the first grant, since nothing can be
+// journalled during the store outage for which the longer lease is meant.
 type TookOver struct {
 	Epoch       int64         `json:"epoch"`
 	EntryID     string        `json:"entry-id"`
@@ -43,10 +44,11 @@
 	OutageLease time.Duration `json:"outage-lease"`
 }
 
-// LeasesSettled tells that no grant of an earlier epoch is in force any more.
+// LeasesSettled records that no lease granted in an earlier epoch is in force
+// any more.
 type LeasesSettled struct{}
 
-// VMSeen describes a VM as its agent does.
+// VMSeen is the description of a VM as reported by its agent.
 type VMSeen struct {
 	Capacity    messenger.Capacity `json:"capacity"`
 	AgentID     string             `json:"agent-id"`
@@ -55,26 +57,27 @@
 	Leaving     bool               `json:"leaving,omitempty"`
 }
 
-// ServiceHold is what the upstreams of one service hold on a VM.
+// ServiceHold is the number of upstreams of one service on a VM and the
+// resources of each.
 type ServiceHold struct {
 	Service string              `json:"service"`
 	Count   int64               `json:"count"`
 	Needs   describer.Resources `json:"needs"` // of one upstream
 }
 
-// VMGone removes a VM that holds nothing.
+// VMGone removes a VM on which no task holds resources.
 type VMGone struct {
 	VM string `json:"vm"`
 }
 
-// Quarantine keeps new tasks from a VM until a time, or ends that.
+// Quarantine excludes a VM from new tasks until a time, or ends the quarantine.
 type Quarantine struct {
 	VM     string    `json:"vm"`
-	Reason string    `json:"reason,omitempty"` // empty: ended, one task may probe the VM
+	Reason string    `json:"reason,omitempty"` // empty if the quarantine ended; one task may then probe the VM
 	Until  time.Time `json:"until,omitzero"`
 }
 
-// Submitted accepts a task; its needs and run time are filled in.
+// Submitted accepts a task whose needs and run time are filled in.
 type Submitted struct {
 	Spec   messenger.TaskSpec `json:"spec"`
 	Digest string             `json:"digest"` // of the spec as submitted
@@ -84,63 +87,64 @@
 type Held struct {
 	Task       string `json:"task"`
 	Reason     string `json:"reason"`
-	Impossible bool   `json:"impossible,omitempty"` // by its needs; tried again when fleet or VMs change
+	Impossible bool   `json:"impossible,omitempty"` // held because of its needs; retried when the fleet text or the VMs change
 }
 
 // Queued returns a held task to the queue.
 type Queued struct {
 	Task       string `json:"task"`
-	Checkpoint string `json:"checkpoint,omitempty"` // empty: the earlier one stays
+	Checkpoint string `json:"checkpoint,omitempty"` // empty: keep the earlier one
 }
 
-// Cancelled ends a task that holds nothing.
+// Cancelled ends a task that holds no resources.
 type Cancelled struct {
 	Task string `json:"task"`
 }
 
-// Started gives a queued task to a VM.
+// Started assigns a queued task to a VM.
 type Started struct {
 	Task    string `json:"task"`
 	VM      string `json:"vm"`
 	Attempt int64  `json:"attempt"`
-	// Incarnation is that of the VM's agent when the start was decided.
+	// Incarnation is the incarnation of the VM's agent when the start was
+	// decided.
 	Incarnation int64 `json:"incarnation,omitempty"`
 }
 
-// Confirmed tells that the agent reported the attempt running.
+// Confirmed records that the agent reported the attempt as running.
 type Confirmed struct {
 	Task    string `json:"task"`
 	Attempt int64  `json:"attempt"`
 }
 
-// StopKind tells why an attempt is being stopped.
+// StopKind is the reason why an attempt is being stopped.
 type StopKind string
 
-// Kinds of stops.
+// Values of StopKind.
 const (
 	StopMove   StopKind = "move"   // checkpoint, then run elsewhere
-	StopCancel StopKind = "cancel" // end for good
-	StopAbort  StopKind = "abort"  // start withdrawn, run elsewhere
+	StopCancel StopKind = "cancel" // cancel the task
+	StopAbort  StopKind = "abort"  // withdraw the start, then run elsewhere
 	StopDone   StopKind = "done"   // an earlier attempt has completed the task
 )
 
-// Stopping orders the end of an attempt.
+// Stopping records the order to stop an attempt.
 type Stopping struct {
 	Task    string   `json:"task"`
 	Attempt int64    `json:"attempt"`
 	Kind    StopKind `json:"kind"`
 }
 
-// Ended frees what an attempt held.
+// Ended records the end of an attempt and releases its resources.
 type Ended struct {
 	Task       string              `json:"task"`
 	Attempt    int64               `json:"attempt"`
 	Next       messenger.TaskState `json:"next"` // completed, cancelled, held or queued
 	Reason     string              `json:"reason,omitempty"`
-	Checkpoint string              `json:"checkpoint,omitempty"` // empty: the earlier one stays
-	Failed     bool                `json:"failed,omitempty"`     // counts against the task and the VM
+	Checkpoint string              `json:"checkpoint,omitempty"` // empty: keep the earlier one
+	Failed     bool                `json:"failed,omitempty"`     // counts as a failure of the task and of the VM
 	Evicted    bool                `json:"evicted,omitempty"`
-	Unheard    bool                `json:"unheard,omitempty"` // held since it may have completed without a report
+	Unheard    bool                `json:"unheard,omitempty"` // held because it may have completed without a report
 	NotBefore  time.Time           `json:"not-before,omitzero"`
 }
 
@@ -150,13 +154,13 @@
 	Percent int    `json:"percent"`
 }
 
-// DoneBefore tells that an attempt given up as lost had completed the task.
+// DoneBefore records that an attempt assumed lost had completed the task.
 type DoneBefore struct {
 	Task    string `json:"task"`
 	Attempt int64  `json:"attempt"`
 }
 
-// Claimed gives the right to run a keyed request to one request.
+// Claimed grants one request the right to run a keyed request.
 type Claimed struct {
 	Tenant    string `json:"tenant"`
 	Key       string `json:"key"`
@@ -165,7 +169,7 @@
 	RequestID string `json:"request-id"`
 }
 
-// ClaimClosed tells how a claimed request ended.
+// ClaimClosed records how a claimed request ended.
 type ClaimClosed struct {
 	Tenant    string                `json:"tenant"`
 	Key       string                `json:"key"`
@@ -174,7 +178,7 @@
 	Answer    *messenger.KeptAnswer `json:"answer,omitempty"`
 }
 
-// ClaimsOld forgets claims made before a time.
+// ClaimsOld removes claims made before a time.
 type ClaimsOld struct {
 	Before time.Time `json:"before"`
 }
