--- a/internal/control/learner/history.go
+++ b/internal/control/learner/history.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	windowsKept   = 8 // of each VM, to know duplicates
-	pressuresKept = 4 // of each service on a VM
+	windowsKept   = 8 // per VM, to detect duplicate reports
+	pressuresKept = 4 // per service on a VM
 )
 
-// history is what a VM reported lately.
+// history holds the recent reports of a VM.
 type history struct {
 	seen     []window // latest last
 	services map[string]*pressure
-	arrived  time.Time // of the latest report
+	arrived  time.Time // when the latest report arrived
 }
 
 type window struct{ from, to time.Time }
 
-// pressure holds measurements of a service on a VM, newest first.
+// pressure holds the measurements of a service on a VM, newest first.
 type pressure struct {
 	windows []placer.Window
-	arrived time.Time // of the newest
+	arrived time.Time // when the newest measurement arrived
 }
 
 func (l *Learner) history(vm string) *history {
@@ -50,9 +50,10 @@
 	delete(l.vms, oldest)
 }
 
-// accept tells whether a window is new. Agents repeat reports whose answer was
-// lost: counting one twice would make the estimate surer than it is. A window
-// that is older than all kept ones can't be told from a repeat and is dropped.
+// accept records a window and reports whether it is new. Agents repeat a report
+// when the reply was lost; counting it twice would make the estimate more
+// confident than it should be. A window older than all kept ones cannot be
+// distinguished from a repeat and is dropped.
 func (h *history) accept(from, to time.Time) bool {
 	for _, w := range h.seen {
 		if w.from.Equal(from) && w.to.Equal(to) {
@@ -75,8 +76,8 @@
 	return true
 }
 
-// add keeps a measurement in its place by time; one that came late does not
-// displace a newer one.
+// add inserts a measurement in time order, so that a late one does not displace
+// a newer one.
 func (h *history) add(service string, w placer.Window, now time.Time) {
 	p := h.services[service]
 	if p == nil {
@@ -90,7 +91,8 @@
 	if at == 0 {
 		p.arrived = now
 	}
-	// A new slice each time: callers of Recent may still hold the old one.
+	// A new slice each time, since callers of Recent may still hold the old
+	// one.
 	next := make([]placer.Window, 0, pressuresKept+1)
 	next = append(next, p.windows[:at]...)
 	next = append(next, w)
@@ -98,10 +100,10 @@
 	p.windows = next[:min(len(next), pressuresKept)]
 }
 
-// Recent returns the latest measurements of a service on a VM, newest first, and
-// none when reports stopped coming or no longer name the service: it may be
-// stuck. One that is idle is reported as such. Callers must not change the
-// result.
+// Recent returns the latest measurements of a service on a VM, newest first. It
+// returns none if reports have stopped or no longer include the service, which
+// may be stuck. An idle service is reported as idle. Callers must not change
+// the result.
 func (l *Learner) Recent(vm, service string) []placer.Window {
 	h := l.vms[vm]
 	if h == nil {
@@ -114,13 +116,13 @@
 	return p.windows
 }
 
-// idlePressure is the pressure of a service without requests: not zero, which
-// means unknown.
+// idlePressure is the pressure of a service without requests. It is not zero,
+// since zero means unknown.
 const idlePressure = 0.01
 
-// Pressure returns the measured latency of a service on a VM divided by its
-// objective, smoothed over the last two reports; 0 when no report is recent,
-// which means unknown and not idle.
+// Pressure returns the measured p99 of a service on a VM divided by its latency
+// objective, smoothed over the last two reports. It returns 0 if there is no
+// recent report, which means unknown, not idle.
 func (l *Learner) Pressure(vm, service string) float64 {
 	const newest = 0.6
 	w := l.Recent(vm, service)
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -1,8 +1,8 @@
-// Package learner estimates by how much each class of batch tasks slows each
-// service on the same VM, from usage reports that lag. Each report is matched to
-// what was placed in the window that it measured. A Learner is used from one
-// goroutine; it bounds its own memory and needs nothing stored: after a change
-// of owner it learns again.
+// Package learner estimates how much each class of batch tasks slows each
+// service on the same VM. It uses usage reports that arrive with a delay, and
+// matches each report to the tasks that were placed in the window it measured.
+// A Learner must be used from a single goroutine. Its memory is bounded and
+// nothing is stored: after a change of owner it learns again.
 package learner
 
 import (
@@ -12,26 +12,26 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Placement is the presence of a batch task on a VM, at one throttle. A task
-// whose throttle changed has several.
+// Placement is a period in which a batch task was on a VM at one throttle
+// percentage. A task whose throttle changed has several placements.
 type Placement struct {
 	TaskID  string
 	Class   string
 	From    time.Time
-	To      time.Time // zero: it is still there
+	To      time.Time // zero if the task is still there
 	Percent int       // 0 or 100: not throttled
 }
 
-// Config holds the settings of a Learner; zero values take the defaults.
+// Config holds the settings of a Learner; zero values select the defaults.
 type Config struct {
 	// Objective returns the latency objective of a service, 0 if it has none.
 	Objective     func(service string) time.Duration
 	Now           func() time.Time
-	StaleAfter    time.Duration // age of a report from which pressure is unknown; default 20 s
-	ForgetAfter   time.Duration // time in which unconfirmed knowledge is lost; default 30 min
-	PriorSlowdown float64       // of one task, when nothing is known; default 0.05
+	StaleAfter    time.Duration // report age above which the pressure is unknown; default 20 s
+	ForgetAfter   time.Duration // time after which an estimate without new measurements has no confidence left; default 30 min
+	PriorSlowdown float64       // assumed slowdown by one task without any data; default 0.05
 	MaxServices   int           // default 512
-	MaxClasses    int           // for each service; default 48
+	MaxClasses    int           // per service; default 48
 	MaxVMs        int           // default 8192
 }
 
@@ -44,16 +44,16 @@
 	defaultMaxVMs        = 8192
 )
 
-// Learner holds what was learned.
+// Learner holds the estimates and the recent reports.
 type Learner struct {
 	config   Config
 	services map[string]*model
-	classes  map[string]*mean // over services
-	all      mean             // over pairs
+	classes  map[string]*mean // mean effect of each class over all services
+	all      mean             // mean effect over all pairs of service and class
 	vms      map[string]*history
 }
 
-// New returns a Learner that knows nothing.
+// New returns a Learner without data.
 func New(c Config) *Learner {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -85,8 +85,9 @@
 	}
 }
 
-// Observe takes in a report of a VM with what was placed there. A report that
-// was seen before, or comes long after later ones, changes nothing.
+// Observe processes a usage report of a VM and the batch tasks that were placed
+// there. A report that was processed before, or that arrives long after later
+// ones, changes nothing.
 func (l *Learner) Observe(vm string, usage messenger.Usage, placed []Placement) {
 	from, to := time.UnixMilli(usage.FromMillis), time.UnixMilli(usage.ToMillis)
 	if !to.After(from) {
@@ -99,7 +100,7 @@
 	now := l.config.Now()
 	shares := sharesByClass(from, to, placed)
 	for _, s := range usage.Services {
-		if s.Requests == 0 && s.P99Micros == 0 { // idle: it misses nothing, and teaches nothing
+		if s.Requests == 0 && s.P99Micros == 0 { // an idle service misses no objective and gives no data about interference
 			h.add(s.Service, placer.Window{From: from, To: to}, now)
 			continue
 		}
@@ -119,8 +120,8 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// sharesByClass returns for each class the mean number of its tasks that ran at
-// full share within a window.
+// sharesByClass returns for each class the mean number of its tasks that ran
+// within a window, weighted by their processor shares.
 func sharesByClass(from, to time.Time, placed []Placement) map[string]float64 {
 	shares := make(map[string]float64)
 	for _, p := range placed {
@@ -132,13 +133,13 @@
 			end = to
 		}
 		if overlap := end.Sub(start); overlap > 0 {
-			shares[p.Class] += float64(overlap) / float64(to.Sub(from)) * share(p.Percent)
+			shares[p.Class] += float64(overlap) / float64(to.Sub(from)) * processorShare(p.Percent)
 		}
 	}
 	return shares
 }
 
-func share(percent int) float64 {
+func processorShare(percent int) float64 {
 	if percent <= 0 || percent > 100 {
 		return 1
 	}
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -14,26 +14,26 @@
 
 var start = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-// bed is a set of VMs with hidden effects that report every five seconds.
-type bed struct {
+// testbed simulates VMs with hidden effects that report every five seconds.
+type testbed struct {
 	now     time.Time
 	rng     *rand.Rand
-	effects map[string]float64 // by service/class
-	base    map[string]float64 // of each service, microseconds
+	effects map[string]float64 // true effects, by service/class
+	base    map[string]float64 // latency of each service without batch tasks, in microseconds
 	learner *Learner
 	seed    uint64
 }
 
-func newBed(seed uint64, c Config) *bed {
-	b := &bed{now: start, rng: rand.New(rand.NewPCG(seed, 1)), effects: make(map[string]float64), base: make(map[string]float64), seed: seed}
+func newTestbed(seed uint64, c Config) *testbed {
+	b := &testbed{now: start, rng: rand.New(rand.NewPCG(seed, 1)), effects: make(map[string]float64), base: make(map[string]float64), seed: seed}
 	c.Now = func() time.Time { return b.now }
 	c.Objective = func(string) time.Duration { return 50 * time.Millisecond }
 	b.learner = New(c)
 	return b
 }
 
-// usage measures one window of a VM with the given placements.
-func (b *bed) usage(service string, placed []Placement) messenger.Usage {
+// usage returns the report of a VM with the given placements for one window.
+func (b *testbed) usage(service string, placed []Placement) messenger.Usage {
 	from := b.now
 	latency := b.base[service]
 	for class, n := range sharesByClass(from, from.Add(5*time.Second), placed) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// random places up to three tasks of each class.
-func (b *bed) random(classes ...string) []Placement {
+// randomPlacements places up to three tasks of each class.
+func (b *testbed) randomPlacements(classes ...string) []Placement {
 	var placed []Placement
 	for _, class := range classes {
 		for i := range b.rng.IntN(4) {
@@ -57,28 +57,28 @@
 	return placed
 }
 
-// run lets eight VMs report for a number of windows.
-func (b *bed) run(windows int, service string, classes ...string) {
+// run lets eight VMs report for a number of windows, with random placements.
+func (b *testbed) run(windows int, service string, classes ...string) {
 	for range windows {
 		for vm := range 8 {
-			placed := b.random(classes...)
+			placed := b.randomPlacements(classes...)
 			b.learner.Observe(fmt.Sprint("vm", vm), b.usage(service, placed), placed)
 		}
 		b.now = b.now.Add(5 * time.Second)
 	}
 }
 
-func (b *bed) check(t *testing.T, service, class string, within float64) {
+func (b *testbed) check(t *testing.T, service, class string, within float64) {
 	t.Helper()
 	got, confidence := b.learner.Interference(service, class)
 	if want := b.effects[service+"/"+class]; math.Abs(got-want) > within {
-		t.Errorf("seed %d: %s beside %s: learned %.3f (confidence %.2f), truth %.3f", b.seed, service, class, got, confidence, want)
+		t.Errorf("seed %d: effect on %s of co-located %s: learned %.3f (confidence %.2f), true %.3f", b.seed, service, class, got, confidence, want)
 	}
 }
 
-func TestLearnsPairs(t *testing.T) {
+func TestLearnsEffects(t *testing.T) {
 	for seed := range uint64(10) {
-		b := newBed(seed, Config{})
+		b := newTestbed(seed, Config{})
 		b.base["depth"], b.base["labels"] = 20000, 60000
 		for _, key := range []string{"depth/x", "depth/y", "labels/x", "labels/y"} {
 			b.effects[key] = b.rng.Float64() * 0.4
@@ -92,9 +92,10 @@
 	}
 }
 
-func TestForgetsSlowly(t *testing.T) {
-	// The effect of a pair shifts; the estimate follows within some minutes.
-	b := newBed(7, Config{})
+func TestEstimateFollowsChangedEffect(t *testing.T) {
+	// The effect of a pair changes. The estimate must follow within ten
+	// minutes.
+	b := newTestbed(7, Config{})
 	b.base["depth"], b.effects["depth/x"] = 20000, 0.3
 	b.run(60, "depth", "x")
 	b.check(t, "depth", "x", 0.05)
@@ -104,12 +105,12 @@
 }
 
 func TestOutliersAreClipped(t *testing.T) {
-	// One report in thirty is fifty times too high: a paused VM. Taken at face
-	// value it would be put down to whatever ran beside it.
-	b := newBed(3, Config{})
+	// One report in thirty has a p99 fifty times too high, as after a pause of
+	// the VM. Without clipping, it would be attributed to the co-located tasks.
+	b := newTestbed(3, Config{})
 	b.base["depth"], b.effects["depth/x"], b.effects["depth/y"] = 20000, 0.2, 0
 	for i := range 240 {
-		placed := b.random("x", "y")
+		placed := b.randomPlacements("x", "y")
 		u := b.usage("depth", placed)
 		if i%30 == 29 {
 			u.Services[0].P99Micros *= 50
@@ -122,44 +123,44 @@
 }
 
 func TestUnknownPairsFallBack(t *testing.T) {
-	b := newBed(5, Config{})
+	b := newTestbed(5, Config{})
 	prior, confidence := b.learner.Interference("depth", "x")
 	if math.Abs(prior-defaultPriorSlowdown) > 1e-9 || confidence != 0 {
-		t.Errorf("nothing known: %.3f, confidence %.2f", prior, confidence)
+		t.Errorf("without data: slowdown %.3f, confidence %.2f", prior, confidence)
 	}
 	b.base["depth"], b.base["labels"] = 20000, 20000
-	b.effects = map[string]float64{"depth/loud": 0.5, "depth/calm": 0, "labels/loud": 0.5, "labels/calm": 0, "labels/other": 0.5}
-	b.run(60, "depth", "loud", "calm")
-	b.run(60, "labels", "loud", "calm", "other")
-	loud, _ := b.learner.Interference("new", "loud")
-	calm, _ := b.learner.Interference("new", "calm")
-	if loud < 2*calm || loud < 0.15 {
-		t.Errorf("beside a new service: loud class %.3f, calm class %.3f", loud, calm)
+	b.effects = map[string]float64{"depth/noisy": 0.5, "depth/harmless": 0, "labels/noisy": 0.5, "labels/harmless": 0, "labels/other": 0.5}
+	b.run(60, "depth", "noisy", "harmless")
+	b.run(60, "labels", "noisy", "harmless", "other")
+	noisy, _ := b.learner.Interference("new", "noisy")
+	harmless, _ := b.learner.Interference("new", "harmless")
+	if noisy < 2*harmless || noisy < 0.15 {
+		t.Errorf("effect on a new service: noisy class %.3f, harmless class %.3f", noisy, harmless)
 	}
 	service, _ := b.learner.Interference("labels", "unseen")
 	if service < 0.1 {
-		t.Errorf("unseen class beside a sensitive service: %.3f", service)
+		t.Errorf("effect of an unseen class on a sensitive service: %.3f", service)
 	}
 }
 
 func TestOrderAndRepeatsDoNotMatter(t *testing.T) {
-	// Reports come doubled and out of order, as when answers are lost. The
-	// estimates stay close to those of the reports in order, and pressure is
-	// that of the latest window.
+	// Reports arrive duplicated and out of order, as when replies are lost. The
+	// estimates must stay close to those from the reports in order, and the
+	// latest window must be the same.
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		in, mixed := newBed(seed, Config{}), newBed(seed, Config{})
-		in.base["depth"], in.effects["depth/x"] = 20000, 0.3
+		ordered, mixed := newTestbed(seed, Config{}), newTestbed(seed, Config{})
+		ordered.base["depth"], ordered.effects["depth/x"] = 20000, 0.3
 		type report struct {
 			u      messenger.Usage
 			placed []Placement
 		}
 		var reports []report
 		for range 60 {
-			placed := in.random("x")
-			reports = append(reports, report{in.usage("depth", placed), placed})
-			in.learner.Observe("vm", reports[len(reports)-1].u, placed)
-			in.now = in.now.Add(5 * time.Second)
+			placed := ordered.randomPlacements("x")
+			reports = append(reports, report{ordered.usage("depth", placed), placed})
+			ordered.learner.Observe("vm", reports[len(reports)-1].u, placed)
+			ordered.now = ordered.now.Add(5 * time.Second)
 		}
 		for i := 0; i+2 < len(reports); i += 3 {
 			for _, k := range rapid.Permutation([]int{0, 1, 2, 0, 1, 2}).Draw(t, "order") {
@@ -167,38 +168,38 @@
 			}
 			mixed.now = mixed.now.Add(15 * time.Second)
 		}
-		a, ca := in.learner.Interference("depth", "x")
+		a, ca := ordered.learner.Interference("depth", "x")
 		b, cb := mixed.learner.Interference("depth", "x")
 		if math.Abs(a-b) > 0.03 || math.Abs(ca-cb) > 0.03 {
 			t.Fatalf("in order %.3f (%.2f), mixed %.3f (%.2f)", a, ca, b, cb)
 		}
-		if p, q := in.learner.Recent("vm", "depth")[0], mixed.learner.Recent("vm", "depth")[0]; p != q {
+		if p, q := ordered.learner.Recent("vm", "depth")[0], mixed.learner.Recent("vm", "depth")[0]; p != q {
 			t.Fatalf("latest window %+v and %+v", p, q)
 		}
 	})
 }
 
-func TestRepeatTeachesNothing(t *testing.T) {
-	b := newBed(4, Config{})
+func TestRepeatedReportIsIgnored(t *testing.T) {
+	b := newTestbed(4, Config{})
 	b.base["depth"], b.effects["depth/x"] = 20000, 0.3
-	placed := b.random("x", "y", "z")
+	placed := b.randomPlacements("x", "y", "z")
 	u := b.usage("depth", placed)
 	b.learner.Observe("vm", u, placed)
-	before, sure := b.learner.Interference("depth", "x")
+	before, confidenceBefore := b.learner.Interference("depth", "x")
 	for range 5 {
 		b.learner.Observe("vm", u, placed)
 	}
-	if after, surer := b.learner.Interference("depth", "x"); after != before || surer != sure {
-		t.Errorf("repeats moved the estimate from %v (%v) to %v (%v)", before, sure, after, surer)
+	if after, confidenceAfter := b.learner.Interference("depth", "x"); after != before || confidenceAfter != confidenceBefore {
+		t.Errorf("repeated reports changed the estimate (confidence) from %v (%v) to %v (%v)", before, confidenceBefore, after, confidenceAfter)
 	}
 }
 
-func TestSilenceIsUnknown(t *testing.T) {
-	b := newBed(1, Config{})
+func TestPressureWithoutReportsIsUnknown(t *testing.T) {
+	b := newTestbed(1, Config{})
 	b.base["depth"] = 40000
 	b.run(2, "depth", "x")
 	if p := b.learner.Pressure("vm0", "depth"); p < 0.5 {
-		t.Errorf("pressure %.2f while reports come", p)
+		t.Errorf("pressure %.2f with recent reports", p)
 	}
 	u := messenger.Usage{FromMillis: b.now.UnixMilli(), ToMillis: b.now.Add(time.Second).UnixMilli(), Services: []messenger.ServiceLoad{{Service: "idle"}}}
 	b.learner.Observe("vm0", u, nil)
@@ -206,7 +207,7 @@
 		t.Errorf("pressure %.2f of an idle service", p)
 	}
 	if p := b.learner.Pressure("vm0", "stuck"); p != 0 {
-		t.Errorf("pressure %.2f of a service that reports don't name", p)
+		t.Errorf("pressure %.2f of a service missing from the reports", p)
 	}
 	b.now = b.now.Add(time.Minute)
 	if p := b.learner.Pressure("vm0", "depth"); p != 0 {
@@ -217,7 +218,7 @@
 	}
 }
 
-func TestMatchesPlacementsToTheWindow(t *testing.T) {
+func TestSharesByClass(t *testing.T) {
 	from := start
 	at := func(s float64) time.Time { return from.Add(time.Duration(s * float64(time.Second))) }
 	got := sharesByClass(from, at(10), []Placement{
@@ -234,7 +235,7 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	b := newBed(2, Config{MaxServices: 4, MaxClasses: 5, MaxVMs: 6})
+	b := newTestbed(2, Config{MaxServices: 4, MaxClasses: 5, MaxVMs: 6})
 	for i := range 200 {
 		service := fmt.Sprint("service", i%17)
 		b.base[service] = 20000
@@ -253,17 +254,19 @@
 	}
 }
 
-// BenchmarkObserve measures one report: go test -bench Observe ./internal/control/learner.
+// BenchmarkObserve measures one report:
+//
+//	go test -bench Observe ./internal/control/learner
 func BenchmarkObserve(b *testing.B) {
 	for _, classes := range []int{5, 20, 48} {
 		b.Run(fmt.Sprint("classes=", classes), func(b *testing.B) {
-			bed := newBed(1, Config{})
+			bed := newTestbed(1, Config{})
 			bed.base["depth"] = 20000
 			var names []string
 			for i := range classes {
 				names = append(names, fmt.Sprint("c", i))
 			}
-			placed := bed.random(names...)
+			placed := bed.randomPlacements(names...)
 			u := bed.usage("depth", placed)
 			for b.Loop() {
 				u.FromMillis += 5000
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -9,8 +9,8 @@
 //
 //	log(p99) = base + load*(rate/mean rate - 1) + sum over classes of effect*share
 //
-// It is kept by a Kalman filter with one state for base, load and each class.
-// Uncertainty grows slowly with time, up to the prior's, which forgets.
+// A Kalman filter estimates base, load and the effect of each class. To forget
+// old data, the variances grow slowly with time, up to those of the prior.
 const (
 	baseIndex = iota
 	loadIndex
@@ -18,17 +18,17 @@
 )
 
 const (
-	priorVariance  = 0.04 // of an effect: a standard deviation of about 20%
-	baseVariance   = 4.0
-	loadVariance   = 0.25
-	startNoise     = 0.05
-	minNoise       = 0.002
-	noiseMemory    = 0.05 // weight of the latest residual in the noise
-	clipAt         = 3.0  // standard deviations beyond which a residual counts no more
-	rateMemory     = 0.02
-	fewRequests    = 100 // below, a p99 is noisier in proportion
-	shrinkage      = 2.0 // pairs' worth of weight of the prior in a mean
-	maxLoadOverrun = 3.0
+	priorVariance = 0.04 // of an effect; a standard deviation of about 20%
+	baseVariance  = 4.0
+	loadVariance  = 0.25
+	initialNoise  = 0.05
+	minNoise      = 0.002
+	noiseWeight   = 0.05 // weight of the latest residual in the noise estimate
+	maxResidual   = 3.0  // residuals are clipped at this number of standard deviations
+	rateWeight    = 0.02 // weight of the latest rate in the mean rate
+	fewRequests   = 100  // with fewer requests, the noise of a p99 grows in inverse proportion
+	shrinkage     = 2.0  // weight of the prior in a mean, in pairs of full confidence
+	maxLoadTerm   = 3.0  // limit of rate/mean rate - 1
 )
 
 type sample struct {
@@ -39,23 +39,24 @@
 	shares   map[string]float64
 }
 
-// model is what is known of one service.
+// model is the estimate for one service.
 type model struct {
-	index    map[string]int // of classes in the state
-	names    []string       // of classes, by index - firstClass
+	index    map[string]int // index of each class in state
+	names    []string       // class names, by index in state minus firstClass
 	seen     []time.Time    // when each class was last observed
 	state    []float64
 	cov      [][]float64
 	noise    float64
 	meanRate float64
-	mean     mean // over the classes of this service
+	mean     mean // mean effect over the classes of this service
 	at       time.Time
 }
 
 // mean is a mean of effects weighted by confidence.
 type mean struct{ sum, weight float64 }
 
-// value shrinks the mean towards a prior that is worth a few pairs.
+// value returns the mean, shrunk towards a prior with the weight of a few
+// pairs.
 func (m mean) value(prior float64) float64 {
 	return (m.sum + shrinkage*prior) / (m.weight + shrinkage)
 }
@@ -68,7 +69,7 @@
 		l.dropOldestService()
 	}
 	m := &model{
-		index: make(map[string]int), state: make([]float64, firstClass), noise: startNoise, at: now,
+		index: make(map[string]int), state: make([]float64, firstClass), noise: initialNoise, at: now,
 		cov: [][]float64{{baseVariance, 0}, {0, loadVariance}},
 	}
 	l.services[service] = m
@@ -82,17 +83,17 @@
 			oldest = name
 		}
 	}
-	l.count(l.services[oldest], -1)
+	l.updateMeans(l.services[oldest], -1)
 	delete(l.services, oldest)
 }
 
-// learn takes in one measurement.
+// learn processes one measurement.
 func (m *model) learn(l *Learner, s sample) {
-	l.count(m, -1)
-	m.forget(l.config.ForgetAfter, s.at)
+	l.updateMeans(m, -1)
+	m.increaseVariance(l.config.ForgetAfter, s.at)
 	for class, share := range s.shares {
 		if share > 0 {
-			m.touch(l, class, s.at)
+			m.observeClass(l, class, s.at)
 		}
 	}
 	y := math.Log(float64(s.latency))
@@ -100,14 +101,14 @@
 		m.meanRate, m.state[baseIndex] = s.rate, y
 	}
 	m.update(m.regressors(s), y, float64(s.requests))
-	m.meanRate += rateMemory * (s.rate - m.meanRate)
-	l.count(m, 1)
+	m.meanRate += rateWeight * (s.rate - m.meanRate)
+	l.updateMeans(m, 1)
 }
 
 func (m *model) regressors(s sample) []float64 {
 	x := make([]float64, len(m.state))
 	x[baseIndex] = 1
-	x[loadIndex] = min(maxLoadOverrun, s.rate/m.meanRate-1)
+	x[loadIndex] = min(maxLoadTerm, s.rate/m.meanRate-1)
 	for class, share := range s.shares {
 		if i, ok := m.index[class]; ok {
 			x[i] = share
@@ -116,9 +117,9 @@
 	return x
 }
 
-// update is one step of the filter. The residual is clipped: a pause of the VM
-// or a burst from elsewhere may multiply a p99 once and must not be put down to
-// whatever ran beside it.
+// update performs one step of the filter. The residual is clipped: a pause of
+// the VM or load from elsewhere may multiply a p99 once and must not be
+// attributed to the co-located tasks.
 func (m *model) update(x []float64, y, requests float64) {
 	n := len(x)
 	gain := make([]float64, n)
@@ -132,7 +133,7 @@
 	for i := range n {
 		variance += gain[i] * x[i]
 	}
-	limit := clipAt * math.Sqrt(variance)
+	limit := maxResidual * math.Sqrt(variance)
 	residual := max(-limit, min(limit, y-predicted))
 	for i := range n {
 		m.state[i] += gain[i] / variance * residual
@@ -140,14 +141,14 @@
 			m.cov[i][j] -= gain[i] * gain[j] / variance
 		}
 	}
-	after := residual * (1 - (variance-m.noise)/variance)
-	m.noise = max(minNoise, m.noise+noiseMemory*(after*residual-m.noise))
+	residualAfter := residual * (1 - (variance-m.noise)/variance)
+	m.noise = max(minNoise, m.noise+noiseWeight*(residualAfter*residual-m.noise))
 }
 
-// forget lets uncertainty grow by the time since the last measurement, up to
-// the prior's.
-func (m *model) forget(after time.Duration, now time.Time) {
-	grown := min(1, max(0, float64(now.Sub(m.at))/float64(after)))
+// increaseVariance increases the variances with the time since the last
+// measurement, up to those of the prior.
+func (m *model) increaseVariance(forgetAfter time.Duration, now time.Time) {
+	growth := min(1, max(0, float64(now.Sub(m.at))/float64(forgetAfter)))
 	m.at = now
 	for i := range m.state {
 		limit := priorVariance
@@ -157,18 +158,18 @@
 		case loadIndex:
 			limit = loadVariance
 		}
-		m.cov[i][i] = min(limit, m.cov[i][i]+grown*min(limit, priorVariance))
+		m.cov[i][i] = min(limit, m.cov[i][i]+growth*min(limit, priorVariance))
 	}
 }
 
-// touch makes sure that a class has a state. A new one starts from what is
-// known of its class beside other services.
-func (m *model) touch(l *Learner, class string, now time.Time) {
+// observeClass marks a class as observed and adds a state for it if it has
+// none. A new state starts from the effects of the class on other services.
+func (m *model) observeClass(l *Learner, class string, now time.Time) {
 	if i, ok := m.index[class]; ok {
 		m.seen[i-firstClass] = now
 		return
 	}
-	prior := l.fallback(m, class)
+	prior := l.expectedEffect(m, class)
 	if len(m.names) >= l.config.MaxClasses {
 		m.replaceOldest(class, prior, now)
 		return
@@ -201,61 +202,66 @@
 	m.cov[at][at] = priorVariance
 }
 
-// confidence tells how much surer the estimate of a state is than the prior.
+// confidence returns the reduction in variance of a state relative to the
+// prior, from 0 to 1.
 func (m *model) confidence(i int) float64 {
 	return max(0, min(1, 1-m.cov[i][i]/priorVariance))
 }
 
-// count adds the effects of a service to the means, or takes them out.
-func (l *Learner) count(m *model, sign float64) {
+// updateMeans adds the effects of a service to the means (sign 1) or removes
+// them (sign -1).
+func (l *Learner) updateMeans(m *model, sign float64) {
 	m.mean = mean{}
 	for k, class := range m.names {
 		i := k + firstClass
 		c := m.confidence(i)
 		sum, weight := sign*c*max(0, m.state[i]), sign*c
-		of := l.classes[class]
-		if of == nil {
-			of = &mean{}
-			l.classes[class] = of
+		classMean := l.classes[class]
+		if classMean == nil {
+			classMean = &mean{}
+			l.classes[class] = classMean
 		}
-		of.sum, of.weight = of.sum+sum, of.weight+weight
+		classMean.sum, classMean.weight = classMean.sum+sum, classMean.weight+weight
 		l.all.sum, l.all.weight = l.all.sum+sum, l.all.weight+weight
 		m.mean.sum, m.mean.weight = m.mean.sum+c*max(0, m.state[i]), m.mean.weight+c
 	}
 	l.dropEmptyClasses()
 }
 
-// dropEmptyClasses bounds the means by the number of classes.
+// dropEmptyClasses removes class means without weight, so that their number
+// stays bounded.
 func (l *Learner) dropEmptyClasses() {
 	if len(l.classes) <= l.config.MaxClasses*2 {
 		return
 	}
-	const nothing = 1e-6
+	const negligibleWeight = 1e-6
 	for class, m := range l.classes {
-		if m.weight < nothing {
+		if m.weight < negligibleWeight {
 			delete(l.classes, class)
 		}
 	}
 }
 
-// fallback is the expected effect of a pair that was never seen: the mean of
-// the class, shrunk to that of the service, shrunk to the prior.
-func (l *Learner) fallback(m *model, class string) float64 {
+// expectedEffect returns the effect expected for a pair without data: the mean
+// of the class, shrunk to the mean of the service, which is shrunk to the mean
+// of all pairs, which is shrunk to the prior.
+func (l *Learner) expectedEffect(m *model, class string) float64 {
 	prior := l.all.value(math.Log1p(l.config.PriorSlowdown))
 	if m != nil {
 		prior = m.mean.value(prior)
 	}
-	if of := l.classes[class]; of != nil {
-		return of.value(prior)
+	if classMean := l.classes[class]; classMean != nil {
+		return classMean.value(prior)
 	}
 	return prior
 }
 
-// Interference predicts by how much one task of a class slows a service on the
-// same VM (0.2: 20% longer answers), and how sure that is from 0 to 1.
+// Interference predicts the relative slowdown that one task of a class causes a
+// service on the same VM (0.2: 20% higher latency), and returns the confidence
+// in it from 0 to 1.
 func (l *Learner) Interference(service, class string) (slowdown, confidence float64) {
 	m := l.services[service]
-	expected := l.fallback(m, class)
+	expected := l.expectedEffect(m, class)
 	if m == nil {
 		return math.Expm1(max(0, expected)), 0
 	}
