--- a/internal/worker/attender/attender.go
+++ b/internal/worker/attender/attender.go
@@ -137,7 +137,7 @@
 	if err := conn.Call(limit, messenger.MethodWorkReport, a.abridger.Abridge(rep), &reply); err != nil {
 		return err
 	}
-	if !a.config.Guardian.Granted(sentAt, rep.Life, reply) {
+	if !a.config.Guardian.ApplyReply(sentAt, rep.Life, reply) {
 		return fmt.Errorf("owner %s has epoch %d, which is over", conn.Remote(), reply.Epoch)
 	}
 	if len(reply.Entries) > 0 {
@@ -157,7 +157,7 @@
 	case <-conn.Done():
 		return fmt.Errorf("connection to owner %s ended", conn.Remote())
 	case <-a.config.Guardian.Wake():
-		return pauser.Pause(ctx, max(reportGap, a.config.Guardian.Gap()))
+		return pauser.Pause(ctx, max(reportGap, a.config.Guardian.ReportGap()))
 	case <-timer.C:
 		return nil
 	}
@@ -173,7 +173,7 @@
 		a.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"method": method, "error": err.Error()})
 		return nil, err
 	}
-	if err := a.config.Guardian.Obey(o); err != nil {
+	if err := a.config.Guardian.Execute(o); err != nil {
 		return nil, connector.Errorf(messenger.CodeBadRequest, "%v", err)
 	}
 	return messenger.Empty{}, nil
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -1,7 +1,7 @@
-// Package guardian is the agent's side of jobs: the one caller of a VM's worker
-// and so the last guard of its capacity and of what runs. It carries out the
-// orders of the cell's owner, keeps the leases of what runs alive while the owner
-// grants it, and reports.
+// Package guardian is the agent's side of jobs. It is the only caller of the VM's worker and
+// therefore the last check of the VM's capacity. It carries out the orders of the cell's
+// owner, renews the leases of runs for as long as the owner has granted, and reports the
+// state of the worker.
 package guardian
 
 import (
@@ -20,87 +20,86 @@
 type Config struct {
 	VM       string
 	Worker   Worker
-	LeaseMax time.Duration // longest lease that the worker gives
+	LeaseMax time.Duration // longest lease that the worker accepts
 	StopTime time.Duration // longest time that a stop takes
 	Reporter *reporter.Reporter
-	Now      func() time.Time // counts suspensions, does not jump
+	Now      func() time.Time // includes time spent suspended, never jumps
 }
 
 type runState int
 
 const (
-	starting runState = iota // the start was not answered yet
-	running                  // the worker has confirmed it
-	stopping                 // a stop was asked for
+	starting runState = iota // the start has not been answered yet
+	running                  // confirmed by the worker
+	stopping                 // a stop was requested
 )
 
-// run is a run that the worker has or may still get.
+// run is a run that the worker has or may still receive.
 type run struct {
-	state      runState
-	needs      specifier.Resources
-	known      bool          // needs are known
-	settledAt  time.Time     // when its start or stop was answered; a look sent later shows the truth
-	stopped    bool          // its stop was answered
-	doubt      bool          // its start was not answered, and may be carried out later
-	confirmed  bool          // an answer or a look has shown that the worker has, or had, it
-	voidAfter  time.Duration // on the worker's clock: refused if it comes later; 0: not known yet
-	callEnd    time.Time     // when the call that starts it was answered or given up; zero: not yet
-	checkpoint string
-	progress   int
-	measure    int64
-	cancel     context.CancelFunc // of its start
-	pace       int                // ordered last, in percent
-	pacing     bool               // the worker is being told
-	paceDoubt  time.Time          // until then a pace that was not answered may be carried out
-	repacing   bool               // the pace is repeated until then
+	state            runState
+	needs            specifier.Resources
+	needsKnown       bool
+	answeredAt       time.Time     // when its start or stop was answered; a poll sent later shows the actual state
+	stopped          bool          // its stop was answered
+	startUnconfirmed bool          // its start was not answered and may be carried out later
+	confirmed        bool          // an answer or a poll has shown that the worker has or had the run
+	startExpiresAt   time.Duration // on the worker's clock, which refuses the start afterwards; 0: not known yet
+	startCallEndedAt time.Time     // when the start call was answered or given up; zero: not yet
+	checkpoint       string
+	progress         int
+	measure          int64
+	cancel           context.CancelFunc // cancels the start call
+	pace             int                // last ordered, in percent
+	sendingPace      bool               // the pace is being sent to the worker
+	latePaceUntil    time.Time          // an unanswered pace call may be carried out until then
+	repeatingPace    bool               // the pace is sent again periodically until then
 }
 
-// Guardian looks after one worker. It is safe for concurrent use.
+// Guardian manages one worker. It is safe for concurrent use.
 type Guardian struct {
 	config Config
-	wake   chan struct{} // something new to report
+	wake   chan struct{} // signalled when there is something new to report
 
-	mu          sync.Mutex
-	facts       *messenger.WorkFacts
-	life        string // of the worker; empty until it was seen
-	leaving     bool
-	runs        map[accountant.RunKey]*run
-	doubts      map[accountant.RunKey]doubt // starts without an answer
-	ends        []SeenEnd
-	endsStored  int64
-	epoch       int64
-	session     int64
-	process     int64 // names this process
-	ordersSeen  int64
-	grantUntil  time.Time            // the owner lets runs go on until then
-	factsTold   *messenger.WorkFacts // in this session, by a report that was answered
-	factsSent   *messenger.WorkFacts // by the latest report
-	gap         time.Duration        // that the owner wants between reports
-	reportedAt  time.Time            // when the last report was made
-	repliedAt   time.Time            // sent time of the last report that was answered
-	clock       time.Duration
-	clockAt     time.Time          // when clock was received; zero: not known in this life
-	looksFailed int                // in a row
-	looksAbsent int                // in a row, that found no process
-	silentFrom  time.Time          // since when looks fail; zero: they do not
-	leaseEnd    time.Time          // when leases asked for have surely run out
-	hurry       context.CancelFunc // ends the look that waits
-	looked      int64              // epoch of the last look that was answered in this life
-	aliveAt     time.Time          // when that look was sent; zero: none was answered in this life
-	context     context.Context
+	mu                sync.Mutex
+	facts             *messenger.WorkFacts
+	incarnation       string // of the worker; empty until first contact
+	leaving           bool
+	runs              map[accountant.RunKey]*run
+	unconfirmedStarts map[accountant.RunKey]unconfirmedStart // starts without an answer
+	ends              []SeenEnd
+	endsStored        int64
+	epoch             int64
+	session           int64
+	process           int64 // identifies this agent process
+	ordersSeen        int64
+	grantUntil        time.Time            // the owner has granted lease time until then
+	factsAcked        *messenger.WorkFacts // acknowledged in this session by the reply to a report
+	factsSent         *messenger.WorkFacts // in the latest report
+	reportGap         time.Duration        // minimum time between reports that the owner asks for
+	reportedAt        time.Time            // when the last report was made
+	repliedAt         time.Time            // when the last report that got a reply was sent
+	clock             time.Duration
+	clockAt           time.Time          // when clock was received; zero: not yet from this incarnation
+	failedPolls       int                // in a row
+	absentPolls       int                // in a row that found no process
+	unresponsiveSince time.Time          // when polls began to fail; zero: they succeed
+	leaseEnd          time.Time          // when all requested leases have expired for certain
+	cancelPoll        context.CancelFunc // cancels the poll in progress
+	polledEpoch       int64              // epoch of the last poll that this incarnation answered
+	lastPollSentAt    time.Time          // when that poll was sent; zero: this incarnation has answered none
+	runCtx            context.Context
 }
 
-// New returns a Guardian without knowledge of its worker.
+// New returns a Guardian that has no state of its worker yet.
 func New(c Config) *Guardian {
 	now := c.Now()
 	return &Guardian{
-		config: c, wake: make(chan struct{}, 1), runs: make(map[accountant.RunKey]*run), doubts: make(map[accountant.RunKey]doubt), context: context.Background(),
+		config: c, wake: make(chan struct{}, 1), runs: make(map[accountant.RunKey]*run), unconfirmedStarts: make(map[accountant.RunKey]unconfirmedStart), runCtx: context.Background(),
 		session: now.UnixMilli(), process: now.UnixMilli(),
-		// An earlier process may have asked for the longest lease just before it ended.
-		// Without this, one look without an answer before the first lease of this
-		// process would end all that runs in the owner's books, and it would start all
-		// of it a second time.
-		leaseEnd: now.Add(leaseOver(c.LeaseMax)),
+		// An earlier process may have requested the longest lease just before it ended.
+		// Without this, a single unanswered poll before the first lease of this process would
+		// mark all runs as ended for the owner, which would start them a second time.
+		leaseEnd: now.Add(maxLeaseTime(c.LeaseMax)),
 	}
 }
 
@@ -114,18 +113,18 @@
 	}
 }
 
-// Announce takes what the worker said of itself.
+// Announce records what the worker announced about itself.
 func (g *Guardian) Announce(a Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	changed := g.life != a.Life || g.leaving != a.Leaving || g.facts == nil
-	if g.life != a.Life {
-		g.beginLifeLocked(a.Life)
+	changed := g.incarnation != a.Life || g.leaving != a.Leaving || g.facts == nil
+	if g.incarnation != a.Life {
+		g.beginIncarnationLocked(a.Life)
 	}
 	g.leaving = a.Leaving
 	facts := &messenger.WorkFacts{WorkerID: a.ID, Zone: a.Zone, Rack: a.Rack, Service: a.Service, Labels: a.Labels, Capacity: a.Capacity}
 	if g.facts == nil || !reflect.DeepEqual(*facts, *g.facts) {
-		g.facts, changed = facts, true // told again
+		g.facts, changed = facts, true // reported again
 	}
 	if changed {
 		g.config.Reporter.Report(reporter.WorkerAnnounced, reporter.Fields{"life": a.Life, "leaving": a.Leaving, "cpu": a.Capacity.CPUMillis, "memory-mb": a.Capacity.MemoryMB})
@@ -133,44 +132,44 @@
 	}
 }
 
-// beginLifeLocked notes that the worker has forgotten everything, orders that it had not
-// carried out yet included. A start that was still being sent after the life before last
-// answered may have come to the new life instead: it is stopped there before the owner
-// hears that it is gone.
-func (g *Guardian) beginLifeLocked(life string) {
-	if g.life != "" {
-		g.config.Reporter.Report(reporter.WorkerReborn, reporter.Fields{"life": life, "before": g.life, "runs": len(g.runs)})
+// beginIncarnationLocked records that the worker has lost all its state, including orders it
+// had not carried out yet. A start that was still being sent after the previous incarnation
+// last answered may have reached the new one instead: it is stopped there before it is
+// reported as ended.
+func (g *Guardian) beginIncarnationLocked(incarnation string) {
+	if g.incarnation != "" {
+		g.config.Reporter.Report(reporter.WorkerReborn, reporter.Fields{"life": incarnation, "before": g.incarnation, "runs": len(g.runs)})
 	}
-	aliveAt := g.aliveAt
-	g.life, g.ends, g.endsStored, g.clockAt, g.looked, g.aliveAt = life, nil, 0, time.Time{}, 0, time.Time{}
+	lastPollSentAt := g.lastPollSentAt
+	g.incarnation, g.ends, g.endsStored, g.clockAt, g.polledEpoch, g.lastPollSentAt = incarnation, nil, 0, time.Time{}, 0, time.Time{}
 	for key, r := range g.runs {
-		r.voidAfter = neverVoid // it was bounded on another clock
+		r.startExpiresAt = neverExpires // the previous expiry was on another clock
 		switch {
-		case !r.doubt, !r.callEnd.IsZero() && r.callEnd.Before(aliveAt):
+		case !r.startUnconfirmed, !r.startCallEndedAt.IsZero() && r.startCallEndedAt.Before(lastPollSentAt):
 			delete(g.runs, key)
 		case r.state != stopping:
-			g.stopLocked(key, r, "worker reborn")
+			g.stopLocked(key, r, "new incarnation of the worker")
 		case r.stopped:
-			r.stopped = false // by the life before
-			go g.stop(g.context, key)
+			r.stopped = false // the answer came from the previous incarnation
+			go g.stop(g.runCtx, key)
 		}
 	}
-	g.fenceDoubtsLocked()
+	g.fenceUnconfirmedStartsLocked()
 	g.signal()
 }
 
-// Run looks at the worker until ctx ends.
+// Run polls the worker until ctx ends.
 func (g *Guardian) Run(ctx context.Context) error {
 	g.mu.Lock()
-	g.context = ctx
+	g.runCtx = ctx
 	g.mu.Unlock()
 	for ctx.Err() == nil {
-		g.look(ctx)
+		g.poll(ctx)
 	}
 	return ctx.Err()
 }
 
-// committedLocked is what all runs take, those that are being stopped included.
+// committedLocked returns the resources of all runs, including those being stopped.
 func (g *Guardian) committedLocked() specifier.Resources {
 	var sum specifier.Resources
 	for _, r := range g.runs {
@@ -179,30 +178,30 @@
 	return sum
 }
 
-// Report returns a whole report for the session, or false if the worker has not
-// been seen well enough. What a report does not list, the owner starts elsewhere:
-// an agent that was just started must not report before it has looked, and after
-// a change of owner a look must have shown the new epoch to the worker, so that
-// no order of the old owner can add a run any more.
+// Report returns a full report for the session, or false if the state of the worker is not
+// known well enough. The owner restarts elsewhere whatever a report does not list. Therefore
+// an agent that has just started must not report before its first poll, and after a change of
+// owner a poll must have passed the new epoch to the worker, so that no order of the old
+// owner can add a run.
 func (g *Guardian) Report(session int64) (messenger.WorkReport, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.facts == nil || g.clockAt.IsZero() || !g.completeLocked() {
+	if g.facts == nil || g.clockAt.IsZero() || !g.runsCompleteLocked() {
 		return messenger.WorkReport{}, false
 	}
 	g.reportedAt = g.config.Now()
 	rep := messenger.WorkReport{
-		VM: g.config.VM, Session: session, Process: g.process, Life: g.life, OrdersSeen: g.ordersSeen,
+		VM: g.config.VM, Session: session, Process: g.process, Life: g.incarnation, OrdersSeen: g.ordersSeen,
 		AgeMillis: g.config.Now().Sub(g.clockAt).Milliseconds(),
-		Ready:     !g.leaving && g.silentFrom.IsZero(), Granted: g.grantUntil.After(g.config.Now()),
+		Ready:     !g.leaving && g.unresponsiveSince.IsZero(), Granted: g.grantUntil.After(g.config.Now()),
 	}
-	if g.factsTold != g.facts {
+	if g.factsAcked != g.facts {
 		rep.Facts = g.facts
 	}
 	g.factsSent = g.facts
 	for key, r := range g.runs {
 		w := messenger.WorkRun{Task: key.Task.String(), Run: key.Number, Confirmed: r.confirmed, Stopping: r.state == stopping, Checkpoint: r.checkpoint, Progress: r.progress, Measure: r.measure}
-		if r.known && !r.confirmed {
+		if r.needsKnown && !r.confirmed {
 			needs := r.needs
 			w.Needs = &needs
 		}
@@ -213,71 +212,72 @@
 			rep.Ends = append(rep.Ends, messenger.WorkEnd{Seq: e.Seq, Task: e.Task.String(), Run: e.Run, How: e.How, Checkpoint: e.Checkpoint})
 		}
 	}
-	rep.Doubts = g.doubtsLocked()
+	rep.Doubts = g.unconfirmedStartsLocked()
 	return rep, true
 }
 
-// completeLocked tells whether the runs that are known are all that the worker may have: it
-// has answered a look under the owner's epoch, or it is silent and nothing runs there any
-// more. A silent worker may still carry out a start of the owner before.
-func (g *Guardian) completeLocked() bool {
-	return g.looked == g.epoch || !g.silentFrom.IsZero() && g.endedLocked()
+// runsCompleteLocked reports whether the known runs are all that the worker may have: it has
+// answered a poll under the owner's epoch, or it is unresponsive and all its runs have ended.
+// An unresponsive worker may still carry out a start of the previous owner.
+func (g *Guardian) runsCompleteLocked() bool {
+	return g.polledEpoch == g.epoch || !g.unresponsiveSince.IsZero() && g.allRunsEndedLocked()
 }
 
-// endedLocked tells whether all that ran at a silent worker has surely ended.
-func (g *Guardian) endedLocked() bool {
-	return g.looksAbsent >= looksToEnd || g.config.Now().After(g.leaseEnd.Add(g.config.StopTime))
+// allRunsEndedLocked reports whether everything on an unresponsive worker has ended for
+// certain.
+func (g *Guardian) allRunsEndedLocked() bool {
+	return g.absentPolls >= absentPollsToEnd || g.config.Now().After(g.leaseEnd.Add(g.config.StopTime))
 }
 
-// BeginSession makes orders of earlier sessions void.
+// BeginSession starts a new session. Orders of earlier sessions expire.
 func (g *Guardian) BeginSession() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.session++
-	g.ordersSeen, g.factsTold, g.factsSent = 0, nil, nil
+	g.ordersSeen, g.factsAcked, g.factsSent = 0, nil, nil
 	return g.session
 }
 
-// Gap is the time that the owner wants between reports at least.
-func (g *Guardian) Gap() time.Duration {
+// ReportGap returns the minimum time between reports that the owner asks for.
+func (g *Guardian) ReportGap() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.gap
+	return g.reportGap
 }
 
-// Granted takes the owner's answer to a report sent at sentAt. It returns false if
-// the answer is of an owner that was replaced.
-func (g *Guardian) Granted(sentAt time.Time, life string, reply messenger.WorkReply) bool {
+// ApplyReply applies the owner's reply to a report sent at sentAt. It returns false if the reply
+// is from an owner that has been replaced.
+func (g *Guardian) ApplyReply(sentAt time.Time, incarnation string, reply messenger.WorkReply) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if reply.Epoch < g.epoch {
 		return false
 	}
 	g.followLocked(reply.Epoch)
-	g.repliedAt, g.factsTold = sentAt, g.factsSent
-	g.gap = time.Duration(reply.GapMillis) * time.Millisecond
+	g.repliedAt, g.factsAcked = sentAt, g.factsSent
+	g.reportGap = time.Duration(reply.GapMillis) * time.Millisecond
 	if until := sentAt.Add(time.Duration(reply.GrantMillis) * time.Millisecond); until.After(g.grantUntil) {
 		if !g.grantUntil.After(g.config.Now()) {
-			g.signal()      // the owner orders nothing before it hears of the grant
-			g.hurryLocked() // the look that waits asks for no lease
+			g.signal()           // the owner orders nothing before a report shows the grant
+			g.cancelPollLocked() // the poll in progress requests no lease
 		}
 		g.grantUntil = until
 	}
-	if life == g.life {
-		g.storedLocked(reply.EndsStored)
+	if incarnation == g.incarnation {
+		g.dropStoredEndsLocked(reply.EndsStored)
 	}
 	for _, n := range reply.Needs {
-		g.learnNeedsLocked(n)
+		g.setNeedsLocked(n)
 	}
 	for _, d := range reply.Doubts {
-		g.inheritLocked(d)
+		g.adoptUnconfirmedStartLocked(d)
 	}
-	g.fenceDoubtsLocked()
+	g.fenceUnconfirmedStartsLocked()
 	return true
 }
 
-// Follow prepares for the orders of an owner: from now on the worker is asked
-// under its epoch.
+// Follow prepares for the orders of a new owner: from now on calls to the worker carry its
+// epoch.
 func (g *Guardian) Follow(epoch int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -290,17 +290,17 @@
 	}
 	g.config.Reporter.Report(reporter.OwnerFollowed, reporter.Fields{"epoch": epoch, "before": g.epoch})
 	g.epoch = epoch
-	g.hurryLocked() // the look that waits has the old epoch
+	g.cancelPollLocked() // the poll in progress carries the old epoch
 }
 
-// hurryLocked ends the look that waits, so that another one follows at once.
-func (g *Guardian) hurryLocked() {
-	if g.hurry != nil {
-		g.hurry()
+// cancelPollLocked cancels the poll in progress, so that the next one follows immediately.
+func (g *Guardian) cancelPollLocked() {
+	if g.cancelPoll != nil {
+		g.cancelPoll()
 	}
 }
 
-func (g *Guardian) storedLocked(seq int64) {
+func (g *Guardian) dropStoredEndsLocked(seq int64) {
 	g.endsStored = max(g.endsStored, seq)
 	i := 0
 	for i < len(g.ends) && g.ends[i].Seq <= g.endsStored {
@@ -309,20 +309,20 @@
 	g.ends = g.ends[i:]
 }
 
-func (g *Guardian) learnNeedsLocked(n messenger.WorkRun) {
+func (g *Guardian) setNeedsLocked(n messenger.WorkRun) {
 	id, err := specifier.ParseTaskID(n.Task)
 	if err != nil || n.Needs == nil {
 		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": n.Task, "error": errText(err)})
 		return
 	}
 	if r := g.runs[accountant.RunKey{Task: id, Number: n.Run}]; r != nil {
-		r.needs, r.known = *n.Needs, true
+		r.needs, r.needsKnown = *n.Needs, true
 	}
 }
 
 func errText(err error) string {
 	if err == nil {
-		return "no needs"
+		return "needs are missing"
 	}
 	return err.Error()
 }
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -14,61 +14,62 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths of calls to the worker.
+// Timeouts and limits of calls to the worker.
 const (
-	// callLimit is how long an answer may take. The worker answers in
-	// milliseconds; the rest is for this process on its share of a processor.
-	callLimit    = 600 * time.Millisecond
-	callPause    = 50 * time.Millisecond  // before a repeat
-	callPauseMax = 400 * time.Millisecond // it doubles up to this
-	startTries   = 4                      // of a start that no process listens for
-	// startLife is how long after it was sent a start may be carried out. An answer that
-	// takes longer than callLimit changes nothing, and the worker refuses the start by its
-	// own clock: no longer than this is a task held for a start that nobody answers.
-	startLife = 800 * time.Millisecond
-	// startSlack is by how much the worker's clock may be behind what an agent takes it for.
-	startSlack = 100 * time.Millisecond
-	// neverVoid is the bound of a start that the worker may carry out at any time.
-	neverVoid   = time.Duration(math.MaxInt64)
-	orderMaxAge = 1500 * time.Millisecond
+	// callLimit is the timeout of a call. The worker answers in milliseconds; the rest allows
+	// for this process waiting for its share of a processor.
+	callLimit     = 600 * time.Millisecond
+	callPause     = 50 * time.Millisecond  // before a retry
+	callPauseMax  = 400 * time.Millisecond // the pause doubles up to this
+	startAttempts = 4                      // of a start, while no process listens at the worker's address
+	// startValidity is how long after it was sent a start may be carried out. An answer later
+	// than callLimit changes nothing, and the worker refuses a later start by its own clock,
+	// so an unanswered start blocks its task for no longer than this.
+	startValidity = 800 * time.Millisecond
+	// clockLagMax is the longest time by which the worker's clock may lag behind the agent's
+	// estimate of it.
+	clockLagMax = 100 * time.Millisecond
+	// neverExpires is the expiry of a start that the worker may carry out at any time.
+	neverExpires     = time.Duration(math.MaxInt64)
+	ownerReplyMaxAge = 1500 * time.Millisecond // starts are rejected if the last reply is older
 )
 
-// ErrOrdersVoid is returned for orders that were not carried out.
-type ErrOrdersVoid struct {
+// ErrOrdersExpired is returned for orders that have expired and were not carried out.
+type ErrOrdersExpired struct {
 	Session, Epoch int64
-	Life           string // of the worker that they were meant for
+	Incarnation    string // of the worker that the orders were meant for
 }
 
-func (e ErrOrdersVoid) Error() string {
-	return fmt.Sprintf("orders of session %d and epoch %d for life %s of the worker are void", e.Session, e.Epoch, e.Life)
+func (e ErrOrdersExpired) Error() string {
+	return fmt.Sprintf("orders of session %d and epoch %d for incarnation %s of the worker have expired", e.Session, e.Epoch, e.Incarnation)
 }
 
-// IsErrOrdersVoid tells whether orders were not carried out.
-func IsErrOrdersVoid(err error) bool {
-	var e ErrOrdersVoid
+// IsErrOrdersExpired reports whether err is, or wraps, an ErrOrdersExpired.
+func IsErrOrdersExpired(err error) bool {
+	var e ErrOrdersExpired
 	return errors.As(err, &e)
 }
 
-// Obey carries orders out. Orders of a session that is over, of an owner that was
-// replaced or for another life of the worker are void, and the owner is told so: it
-// takes orders that were answered for given and never repeats them.
+// Execute carries out orders. Orders of an ended session, of a replaced owner or for another
+// incarnation of the worker have expired. They are answered with an error, because the owner
+// assumes that acknowledged orders are carried out and never repeats them.
 //
-// Orders of a session may overtake the answer to its first report, which tells of the
-// epoch. They are obeyed: only the process that this agent opened the session with
-// knows its number.
-func (g *Guardian) Obey(o messenger.WorkOrders) error {
+// Orders of a session may overtake the reply to its first report, which carries the epoch.
+// They are carried out nevertheless: only the process with which this agent opened the
+// session has its number.
+func (g *Guardian) Execute(o messenger.WorkOrders) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if o.Session == g.session && o.Life == g.life {
+	if o.Session == g.session && o.Life == g.incarnation {
 		g.followLocked(o.Epoch)
 	}
-	if o.Session != g.session || o.Epoch != g.epoch || o.Life != g.life {
+	if o.Session != g.session || o.Epoch != g.epoch || o.Life != g.incarnation {
 		g.config.Reporter.Report(reporter.OrdersVoid, reporter.Fields{
-			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Life, "life-here": g.life, "orders": len(o.Orders),
+			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Life, "life-here": g.incarnation, "orders": len(o.Orders),
 		})
-		return ErrOrdersVoid{Session: o.Session, Epoch: o.Epoch, Life: o.Life}
+		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Life}
 	}
-	g.storedLocked(o.EndsStored)
+	g.dropStoredEndsLocked(o.EndsStored)
 	for _, order := range o.Orders {
 		g.ordersSeen = max(g.ordersSeen, order.Seq)
 		id, err := specifier.ParseTaskID(order.Task)
@@ -76,106 +77,105 @@
 			g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": order.Task, "error": err.Error()})
 			continue
 		}
-		g.obeyLocked(accountant.RunKey{Task: id, Number: order.Run}, order)
+		g.executeLocked(accountant.RunKey{Task: id, Number: order.Run}, order)
 	}
 	return nil
 }
 
-func (g *Guardian) obeyLocked(key accountant.RunKey, o messenger.WorkOrder) {
+func (g *Guardian) executeLocked(key accountant.RunKey, o messenger.WorkOrder) {
 	switch o.Kind {
 	case messenger.WorkStart:
-		if reason := g.objectionLocked(o); reason != "" {
+		if reason := g.rejectReasonLocked(o); reason != "" {
 			g.config.Reporter.Report(reporter.StartRejected, reporter.Fields{"task": o.Task, "run": o.Run, "reason": reason})
 			g.signal()
 			return
 		}
-		ctx, cancel := context.WithCancel(g.context)
-		g.runs[key] = &run{state: starting, doubt: true, needs: o.Needs, known: true, checkpoint: o.Checkpoint, cancel: cancel}
-		go g.start(ctx, key, g.life, o)
+		ctx, cancel := context.WithCancel(g.runCtx)
+		g.runs[key] = &run{state: starting, startUnconfirmed: true, needs: o.Needs, needsKnown: true, checkpoint: o.Checkpoint, cancel: cancel}
+		go g.start(ctx, key, g.incarnation, o)
 	case messenger.WorkStop:
 		r := g.runs[key]
 		if r == nil {
-			// A start that an earlier process of this agent sent may still be carried
-			// out: the stop makes the worker refuse it, and until that is sure the run
-			// is listed and the owner starts its task nowhere else.
-			r = &run{state: running, doubt: true, callEnd: g.config.Now()}
+			// A start sent by an earlier process of this agent may still be carried out. The
+			// stop makes the worker refuse it; until the stop has taken effect, the run is
+			// listed and the owner starts its task nowhere else.
+			r = &run{state: running, startUnconfirmed: true, startCallEndedAt: g.config.Now()}
 			g.runs[key] = r
-			g.noteDoubtLocked(key)
+			g.recordUnconfirmedStartLocked(key)
 		}
 		g.stopLocked(key, r, "ordered")
 	case messenger.WorkPace:
 		if r := g.runs[key]; r != nil && r.state == running {
-			g.paceLocked(key, r, o.Percent)
+			g.setPaceLocked(key, r, o.Percent)
 		}
 	}
 }
 
-// objectionLocked returns why a start must not be carried out, or "".
+// rejectReasonLocked returns why a start must not be carried out, or "".
 //
-// This is the last place before the worker, which starts whatever it is told to:
-// an owner that was paused or counts wrongly must not bring a VM over its
-// capacity, and a worker that leaves must get nothing new.
-func (g *Guardian) objectionLocked(o messenger.WorkOrder) string {
+// This is the last check before the worker, which starts whatever it is asked to: an owner
+// that was paused or counts wrongly must not overcommit a VM, and a worker that is leaving
+// must get nothing new.
+func (g *Guardian) rejectReasonLocked(o messenger.WorkOrder) string {
 	switch {
 	case g.leaving:
-		return "worker leaves"
-	case !g.silentFrom.IsZero():
-		return "worker silent"
-	case g.config.Now().Sub(g.repliedAt) > orderMaxAge:
-		return "owner not heard"
+		return "worker is leaving"
+	case !g.unresponsiveSince.IsZero():
+		return "worker unresponsive"
+	case g.config.Now().Sub(g.repliedAt) > ownerReplyMaxAge:
+		return "no recent reply from the owner"
 	case g.leaseLocked(g.config.Now()) <= 0:
 		return "no grant"
 	case g.facts == nil || !g.facts.Capacity.Fits(g.committedLocked().Add(o.Needs)):
-		return "no room"
+		return "not enough free capacity"
 	}
 	return ""
 }
 
-// start asks the worker for a run, once: each copy of a call that is not answered may be
-// carried out by itself, and a worker that has begun another life meanwhile knows nothing
-// of the copy that ran before. What the worker has is then shown by looks; a start that
-// none of them shows is stopped.
-func (g *Guardian) start(ctx context.Context, key accountant.RunKey, life string, o messenger.WorkOrder) {
-	call, err := g.sendStart(ctx, key, life, o)
-	if ctx.Err() != nil { // ended, stopped or reborn meanwhile
+// start sends a start to the worker once. Each copy of an unanswered call may be carried out
+// separately, and a new incarnation of the worker has no record of a copy carried out before.
+// Polls show afterwards whether the worker has the run; if none does, the run is stopped.
+func (g *Guardian) start(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) {
+	call, err := g.sendStart(ctx, key, incarnation, o)
+	if ctx.Err() != nil { // the agent ends, or the run was stopped or ended with its incarnation
 		if err != nil {
-			g.noteDoubt(key)
+			g.recordUnconfirmedStart(key)
 		}
 		return
 	}
 	var refused ErrRefused
 	switch {
 	case err == nil:
-		g.settle(key, func(r *run) { r.state, r.doubt, r.confirmed = running, false, true })
+		g.recordStartAnswer(key, func(r *run) { r.state, r.startUnconfirmed, r.confirmed = running, false, true })
 		g.config.Reporter.Report(reporter.RunStarted, reporter.Fields{"task": o.Task, "run": o.Run, "epoch": call.Epoch})
 		return
 	case errors.As(err, &refused):
 		g.config.Reporter.Report(reporter.StartRejected, reporter.Fields{"task": o.Task, "run": o.Run, "reason": string(refused.Reason)})
-		g.settle(key, nil)
+		g.recordStartAnswer(key, nil)
 		return
 	}
 	g.config.Reporter.Report(reporter.StartUnanswered, reporter.Fields{"task": o.Task, "run": o.Run, "error": err.Error()})
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r := g.runs[key]; r != nil && r.state == starting {
-		g.noteDoubtLocked(key)
-		g.stopLocked(key, r, "start not answered")
+		g.recordUnconfirmedStartLocked(key)
+		g.stopLocked(key, r, "start unanswered")
 	}
 }
 
-// sendStart makes the call of a start. It is repeated only while no process listens where
-// the worker was: nothing was sent then.
-func (g *Guardian) sendStart(ctx context.Context, key accountant.RunKey, life string, o messenger.WorkOrder) (call StartCall, err error) {
-	for range startTries {
-		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Life: life}
+// sendStart makes the call of a start. It is repeated only while no process listens at the
+// worker's address, as nothing has been sent then.
+func (g *Guardian) sendStart(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) (call StartCall, err error) {
+	for range startAttempts {
+		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Life: incarnation}
 		g.mu.Lock()
 		call.Epoch, call.Until = g.epoch, g.startUntilLocked(g.config.Now())
 		if r := g.runs[key]; r != nil && r.state == starting {
-			r.voidAfter = call.Until
+			r.startExpiresAt = call.Until
 		}
 		g.mu.Unlock()
-		limit, cancel := context.WithTimeout(ctx, callLimit)
-		err = g.config.Worker.Start(limit, call)
+		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		err = g.config.Worker.Start(callCtx, call)
 		cancel()
 		if !IsErrWorkerNotExist(err) || pauser.Pause(ctx, callPause) != nil {
 			break
@@ -184,16 +184,16 @@
 	return call, err
 }
 
-// settle notes that a start was answered; a nil change drops the run.
-func (g *Guardian) settle(key accountant.RunKey, change func(*run)) {
+// recordStartAnswer records that a start was answered. A nil change removes the run.
+func (g *Guardian) recordStartAnswer(key accountant.RunKey, change func(*run)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.runs[key]
 	if r == nil {
 		return
 	}
-	r.settledAt = g.config.Now()
-	// A start that was confirmed can wait for the next report: nothing is decided by it.
+	r.answeredAt = g.config.Now()
+	// A confirmed start can wait for the next report: no decision depends on it.
 	if change != nil && r.state == starting {
 		change(r)
 		return
@@ -204,7 +204,7 @@
 	g.signal()
 }
 
-// stopLocked begins to stop a run, whether it has come to the worker or not.
+// stopLocked begins to stop a run, whether or not the run has reached the worker.
 func (g *Guardian) stopLocked(key accountant.RunKey, r *run, cause string) {
 	if r.state == stopping {
 		return
@@ -214,24 +214,24 @@
 	}
 	r.state = stopping
 	g.config.Reporter.Report(reporter.RunStopped, reporter.Fields{"task": key.Task.String(), "run": key.Number, "cause": cause})
-	go g.stop(g.context, key)
+	go g.stop(g.runCtx, key)
 }
 
-// stop asks the worker to stop a run until it answers. From then on the worker
-// refuses the run, and a look shows whether it still takes room.
+// stop sends a stop to the worker until it is answered. From then on the worker refuses the
+// run, and a poll shows whether the run still occupies capacity.
 func (g *Guardian) stop(ctx context.Context, key accountant.RunKey) {
 	pause := callPause
 	for ctx.Err() == nil {
 		g.mu.Lock()
-		r, epoch, life := g.runs[key], g.epoch, g.life
+		r, epoch, incarnation := g.runs[key], g.epoch, g.incarnation
 		g.mu.Unlock()
 		if r == nil {
 			return
 		}
-		limit, cancel := context.WithTimeout(ctx, callLimit)
-		err := g.config.Worker.Stop(limit, StopCall{Task: key.Task, Run: key.Number, Epoch: epoch})
+		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		err := g.config.Worker.Stop(callCtx, StopCall{Task: key.Task, Run: key.Number, Epoch: epoch})
 		cancel()
-		if err == nil && g.stopAnswered(r, life) {
+		if err == nil && g.stopAnswered(r, incarnation) {
 			return
 		}
 		if err == nil {
@@ -243,44 +243,44 @@
 	}
 }
 
-// stopAnswered notes the answer to a stop, unless the worker that gave it has begun another
-// life meanwhile, which knows nothing of the stop.
-func (g *Guardian) stopAnswered(r *run, life string) bool {
+// stopAnswered records the answer to a stop. It returns false if the worker has a new
+// incarnation by now, which has no record of the stop.
+func (g *Guardian) stopAnswered(r *run, incarnation string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life != life {
+	if g.incarnation != incarnation {
 		return false
 	}
-	r.stopped, r.settledAt = true, g.config.Now()
+	r.stopped, r.answeredAt = true, g.config.Now()
 	return true
 }
 
-// paceLocked has the worker told of a new pace. One goroutine of a run tells it, so
-// that the last pace ordered is the last to come.
-func (g *Guardian) paceLocked(key accountant.RunKey, r *run, percent int) {
+// setPaceLocked sends a new pace to the worker. Only one goroutine per run sends paces, so
+// that the last pace ordered is the last one to arrive.
+func (g *Guardian) setPaceLocked(key accountant.RunKey, r *run, percent int) {
 	r.pace = percent
-	if !r.pacing {
-		r.pacing = true
-		go g.keepPace(g.context, key, r)
+	if !r.sendingPace {
+		r.sendingPace = true
+		go g.sendPace(g.runCtx, key, r)
 	}
 }
 
-// keepPace tells the worker the pace that was ordered last until it answers. Without
-// the repeats a run whose call was lost would stand still, or disturb, for as long as
-// the owner sees no reason for another pace.
-func (g *Guardian) keepPace(ctx context.Context, key accountant.RunKey, r *run) {
+// sendPace sends the last ordered pace to the worker until it is answered. Without retries, a
+// run whose call was lost would stall, or interfere with its neighbours, until the owner has
+// a reason to order another pace.
+func (g *Guardian) sendPace(ctx context.Context, key accountant.RunKey, r *run) {
 	for ctx.Err() == nil {
 		g.mu.Lock()
-		percent, epoch, over := r.pace, g.epoch, g.runs[key] != r || r.state != running
+		percent, epoch, done := r.pace, g.epoch, g.runs[key] != r || r.state != running
 		g.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
-		limit, cancel := context.WithTimeout(ctx, callLimit)
-		err := g.config.Worker.Pace(limit, PaceCall{Task: key.Task, Run: key.Number, Percent: percent, Epoch: epoch})
+		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		err := g.config.Worker.Pace(callCtx, PaceCall{Task: key.Task, Run: key.Number, Percent: percent, Epoch: epoch})
 		cancel()
-		if g.pacedOrRefused(r, percent, err) {
-			g.repace(ctx, key, r)
+		if g.finishPace(r, percent, err) {
+			g.startRepeatingPace(ctx, key, r)
 			return
 		}
 		if err != nil {
@@ -290,49 +290,51 @@
 	}
 }
 
-// pacedOrRefused ends the telling when the worker has the last pace or will never take it.
-func (g *Guardian) pacedOrRefused(r *run, percent int, err error) bool {
+// finishPace reports whether sending is complete: the worker has the last ordered pace, or
+// will never accept it.
+func (g *Guardian) finishPace(r *run, percent int, err error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var refused ErrRefused
-	final := errors.As(err, &refused) && !refused.Reason.passes()
+	final := errors.As(err, &refused) && !refused.Reason.retryable()
 	if err != nil && !errors.As(err, &refused) {
-		r.paceDoubt = g.config.Now().Add(accountant.DoubtLife)
+		r.latePaceUntil = g.config.Now().Add(accountant.DoubtLife)
 	}
 	if (err == nil || final) && r.pace == percent {
-		r.pacing = false
+		r.sendingPace = false
 		return true
 	}
 	return false
 }
 
-// paceAgain is the pause between repeats of a pace while an earlier one may come late.
-const paceAgain = time.Second
+// paceRepeatInterval is the pause between repeats of a pace while an earlier call may still
+// be carried out.
+const paceRepeatInterval = time.Second
 
-// repace repeats the pace in force for as long as one that was not answered may still be
-// carried out after it.
-func (g *Guardian) repace(ctx context.Context, key accountant.RunKey, r *run) {
+// startRepeatingPace repeats the current pace for as long as an earlier, unanswered one may
+// still be carried out after it.
+func (g *Guardian) startRepeatingPace(ctx context.Context, key accountant.RunKey, r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if r.repacing || !g.config.Now().Before(r.paceDoubt) {
+	if r.repeatingPace || !g.config.Now().Before(r.latePaceUntil) {
 		return
 	}
-	r.repacing = true
-	go g.keepRepacing(ctx, key, r)
+	r.repeatingPace = true
+	go g.repeatPace(ctx, key, r)
 }
 
-func (g *Guardian) keepRepacing(ctx context.Context, key accountant.RunKey, r *run) {
-	for pauser.Pause(ctx, paceAgain) == nil {
+func (g *Guardian) repeatPace(ctx context.Context, key accountant.RunKey, r *run) {
+	for pauser.Pause(ctx, paceRepeatInterval) == nil {
 		g.mu.Lock()
-		over := g.runs[key] != r || r.state != running || g.config.Now().Sub(r.paceDoubt) >= paceAgain
-		if over {
-			r.repacing = false
-		} else if !r.pacing {
-			r.pacing = true
-			go g.keepPace(ctx, key, r)
+		done := g.runs[key] != r || r.state != running || g.config.Now().Sub(r.latePaceUntil) >= paceRepeatInterval
+		if done {
+			r.repeatingPace = false
+		} else if !r.sendingPace {
+			r.sendingPace = true
+			go g.sendPace(ctx, key, r)
 		}
 		g.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/worker/guardian/poll.go
@@ -0,0 +1,301 @@
+package guardian
+
+import (
+	"context"
+	"time"
+
+	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/kernel/pauser"
+	"bamboospread/internal/kernel/reporter"
+)
+
+// Intervals and limits of status polls.
+const (
+	// pollWait is how long a poll may wait for a run to end. The tail latencies that pacing
+	// uses are at most this old.
+	pollWait = 300 * time.Millisecond
+	// pollWaitIdle applies while nothing runs, to reduce wake-ups.
+	pollWaitIdle = time.Second
+	// pollTimeout is the time allowed for an answer beyond the wait. The worker answers in
+	// milliseconds; the rest allows for this process waiting for its share of a processor.
+	pollTimeout    = 400 * time.Millisecond
+	pollRetryPause = 50 * time.Millisecond // after a failed poll
+	// pollMinInterval is the pause after a poll that was answered immediately without news:
+	// the worker does not wait while it lists ends that are not in the store yet. Without it,
+	// agent and owner would poll and report continuously until the end is stored.
+	pollMinInterval = 50 * time.Millisecond
+	// metricsMaxAge is how old the owner's measurements of runs may become before a poll
+	// without other news triggers a report. Pacing uses them; each is a mean over half a
+	// second.
+	metricsMaxAge = 240 * time.Millisecond
+	// metricsMaxAgeGaps is the same limit as a multiple of the gap that the owner asks for.
+	metricsMaxAgeGaps = 6
+	// failedPollsToUnresponsive is how many polls in a row must fail before the worker counts
+	// as unresponsive and gets no new starts. A single poll may be delayed.
+	failedPollsToUnresponsive = 2
+	// absentPollsToEnd is how many polls in a row must find no process at the worker's
+	// address before its runs count as ended. Their leases, up to 5 s, need not be waited for
+	// then.
+	absentPollsToEnd = 4
+	// clockErrorMax is the fraction by which the worker's clock may be slow.
+	clockErrorMax = 0.02
+)
+
+// poll polls the worker once, which also renews the leases.
+func (g *Guardian) poll(ctx context.Context) {
+	call, from := g.nextPoll()
+	timeoutCtx, cancel := context.WithTimeout(ctx, call.Wait+pollTimeout)
+	defer cancel()
+	pollCtx, cancelPoll := context.WithCancel(timeoutCtx)
+	defer cancelPoll()
+	g.mu.Lock()
+	g.cancelPoll = cancelPoll
+	g.mu.Unlock()
+	seen, err := g.config.Worker.Look(pollCtx, call)
+	if err != nil {
+		if pollCtx.Err() != nil && timeoutCtx.Err() == nil {
+			return // cancelled because of a new epoch or grant
+		}
+		g.recordFailedPoll(err)
+		_ = pauser.Pause(ctx, pollRetryPause)
+		return
+	}
+	if !g.applyPoll(seen, call, from) && call.Wait > 0 && g.config.Now().Sub(from.sentAt) < pollMinInterval {
+		_ = pauser.Pause(ctx, pollMinInterval)
+	}
+}
+
+// applyPoll applies the answer to a poll and reports whether it has news other than
+// measurements.
+func (g *Guardian) applyPoll(seen Look, call LookCall, from pollStart) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.failedPolls, g.absentPolls = 0, 0
+	if !g.unresponsiveSince.IsZero() {
+		g.config.Reporter.Report(reporter.WorkerRegained, reporter.Fields{"silent": g.config.Now().Sub(g.unresponsiveSince).String()})
+		g.unresponsiveSince = time.Time{}
+		g.signal()
+	}
+	if g.incarnation != seen.Life {
+		g.beginIncarnationLocked(seen.Life)
+	}
+	if g.clockAt.IsZero() {
+		g.signal()
+	}
+	if g.polledEpoch != call.Epoch {
+		g.polledEpoch = call.Epoch
+		g.signal()
+	}
+	g.clock, g.clockAt, g.lastPollSentAt = seen.Clock, g.config.Now(), from.sentAt
+	if from.incarnation != seen.Life {
+		from.clock = 0
+	}
+	return g.applyLocked(seen, from)
+}
+
+// pollStart is the state known when a poll was sent.
+type pollStart struct {
+	sentAt      time.Time
+	incarnation string        // of the worker
+	clock       time.Duration // lower bound of the worker's clock; 0: not known
+}
+
+func (g *Guardian) nextPoll() (LookCall, pollStart) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.config.Now()
+	call := LookCall{Epoch: g.epoch, Seen: g.endsStored, Wait: pollWait, LeaseUntil: g.leaseLocked(now)}
+	if len(g.runs) == 0 {
+		call.Wait = pollWaitIdle
+	}
+	// Reports, and therefore all starts, wait for the first poll of an incarnation and of an
+	// epoch. Where nothing ends, it would be answered only after its full wait, up to 1 s
+	// after each change of owner.
+	if g.clockAt.IsZero() || g.polledEpoch != g.epoch || g.resolvesUnconfirmedStartLocked() {
+		call.Wait = 0
+	}
+	from := pollStart{sentAt: now, incarnation: g.incarnation}
+	if !g.clockAt.IsZero() {
+		from.clock = g.clock
+	}
+	return call, from
+}
+
+// resolvesUnconfirmedStartLocked reports whether the next poll shows the outcome of an
+// unconfirmed start, whose task is blocked until then.
+func (g *Guardian) resolvesUnconfirmedStartLocked() bool {
+	for _, r := range g.runs {
+		if r.startUnconfirmed && (r.stopped || r.startExpired(g.clock)) {
+			return true
+		}
+	}
+	return false
+}
+
+// startUntilLocked returns the time on the worker's clock until which a start sent now may be
+// carried out. Afterwards the run continues under the lease that polls renew.
+func (g *Guardian) startUntilLocked(now time.Time) time.Duration {
+	lease := g.leaseLocked(now)
+	if lease <= 0 {
+		return 0
+	}
+	return min(lease, g.clock+now.Sub(g.clockAt)+startValidity)
+}
+
+// leaseLocked returns the end of the leases to request, on the worker's clock, or 0. It
+// assumes that no time passed between the worker's answer and its arrival here, so the lease
+// is too short rather than too long.
+//
+// An unresponsive worker gets no renewal: it may receive calls without answering, and its
+// tasks could never be given up if each poll might have extended their leases.
+func (g *Guardian) leaseLocked(now time.Time) time.Duration {
+	if !g.unresponsiveSince.IsZero() {
+		return 0
+	}
+	left := min(g.grantUntil.Sub(now), g.config.LeaseMax)
+	if g.clockAt.IsZero() || left <= 0 {
+		return 0
+	}
+	if end := now.Add(maxLeaseTime(left)); end.After(g.leaseEnd) {
+		g.leaseEnd = end
+	}
+	return g.clock + now.Sub(g.clockAt) + left
+}
+
+// maxLeaseTime returns the time after which a lease has expired even on a slow clock.
+func maxLeaseTime(lease time.Duration) time.Duration {
+	return lease + time.Duration(float64(lease)*clockErrorMax)
+}
+
+func (g *Guardian) recordFailedPoll(err error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.config.Now()
+	g.failedPolls++
+	if g.unresponsiveSince.IsZero() && g.failedPolls >= failedPollsToUnresponsive {
+		g.unresponsiveSince = now
+		g.config.Reporter.Report(reporter.WorkerSilent, reporter.Fields{"error": err.Error(), "runs": len(g.runs)})
+		g.signal()
+	}
+	if IsErrWorkerNotExist(err) {
+		g.absentPolls++
+	} else {
+		g.absentPolls = 0
+	}
+	if len(g.runs) == 0 || !g.allRunsEndedLocked() {
+		return
+	}
+	// All runs have ended. A start without an answer may still arrive for a while.
+	for key, r := range g.runs {
+		if !r.startUnconfirmed || !r.startCallEndedAt.IsZero() && now.Sub(r.startCallEndedAt) > maxLeaseTime(startValidity)+clockLagMax {
+			delete(g.runs, key)
+		}
+	}
+	g.signal()
+}
+
+// applyLocked applies the runs and ends of a poll and reports whether they contain news other
+// than measurements.
+func (g *Guardian) applyLocked(seen Look, from pollStart) (news bool) {
+	listed := make(map[accountant.RunKey]bool, len(seen.Runs))
+	for _, s := range seen.Runs {
+		key := accountant.RunKey{Task: s.Task, Number: s.Run}
+		listed[key] = true
+		r := g.runs[key]
+		if r == nil {
+			// Started by an order to an earlier agent process, or carried out late. The owner
+			// decides what happens to it.
+			r = &run{state: running}
+			g.runs[key] = r
+			g.config.Reporter.Report(reporter.RunFound, reporter.Fields{"task": s.Task.String(), "run": s.Run})
+			news = true
+		}
+		r.startUnconfirmed, r.confirmed = false, true
+		delete(g.unconfirmedStarts, key) // its only copy has arrived
+		g.repeatStopLocked(key, r, from.sentAt)
+		if r.state == starting {
+			r.state = running
+			news = true
+		}
+		r.checkpoint, r.progress, r.measure = s.Checkpoint, s.Progress, s.Measure
+	}
+	news = g.addEndsLocked(seen.Ends) || news
+	news = g.dropLostRunsLocked(listed, seen.Clock, from) || news
+	if news || len(seen.Runs) > 0 && g.config.Now().Sub(g.reportedAt) >= max(metricsMaxAge, metricsMaxAgeGaps*g.reportGap) {
+		g.signal()
+	}
+	return news
+}
+
+// dropLostRunsLocked removes the runs that the worker does not have and will not get, and
+// reports whether there were any. A poll sent after the start or stop was answered, or after
+// the start has expired, shows whether the worker has the run.
+func (g *Guardian) dropLostRunsLocked(listed map[accountant.RunKey]bool, clock time.Duration, from pollStart) (dropped bool) {
+	for key, r := range g.runs {
+		if !listed[key] && (r.pollIsConclusive(from.sentAt) || r.startExpired(from.clock)) {
+			delete(g.runs, key)
+			dropped = true
+			continue
+		}
+		if r.startUnconfirmed && r.startExpiresAt == 0 && r.state == stopping { // sent by an earlier process
+			r.startExpiresAt = clock + startValidity + clockLagMax
+		}
+	}
+	return dropped
+}
+
+// stopSlack is added to the longest time of a stop before the stop is repeated.
+const stopSlack = 300 * time.Millisecond
+
+// repeatStopLocked repeats a stop that was answered, if a poll sent long afterwards still
+// lists the run.
+func (g *Guardian) repeatStopLocked(key accountant.RunKey, r *run, pollSentAt time.Time) {
+	late := pollSentAt.Sub(r.answeredAt)
+	if r.state != stopping || !r.stopped || late <= g.config.StopTime+stopSlack {
+		return
+	}
+	g.config.Reporter.Report(reporter.StopWithoutEffect, reporter.Fields{"task": key.Task.String(), "run": key.Number, "answered": late.String()})
+	r.stopped = false
+	go g.stop(g.runCtx, key)
+}
+
+// startExpired reports whether an unconfirmed start can no longer be carried out. clock is a
+// lower bound of the worker's clock when a poll was sent that does not list the run.
+func (r *run) startExpired(clock time.Duration) bool {
+	return r.startUnconfirmed && r.state == stopping && r.startExpiresAt > 0 && clock > r.startExpiresAt
+}
+
+func (r *run) pollIsConclusive(pollSentAt time.Time) bool {
+	switch r.state {
+	case starting:
+		return false
+	case stopping:
+		return r.stopped && pollSentAt.After(r.answeredAt)
+	default:
+		return pollSentAt.After(r.answeredAt)
+	}
+}
+
+func (g *Guardian) addEndsLocked(ends []SeenEnd) (news bool) {
+	last := g.endsStored
+	if n := len(g.ends); n > 0 {
+		last = g.ends[n-1].Seq
+	}
+	for _, e := range ends {
+		if e.Seq <= last {
+			continue
+		}
+		g.ends = append(g.ends, e)
+		key := accountant.RunKey{Task: e.Task, Number: e.Run}
+		delete(g.unconfirmedStarts, key)
+		if r := g.runs[key]; r != nil {
+			if r.cancel != nil {
+				r.cancel()
+			}
+			delete(g.runs, key)
+		}
+		g.config.Reporter.Report(reporter.RunEnded, reporter.Fields{"task": e.Task.String(), "run": e.Run, "how": e.How})
+		news = true
+	}
+	return news
+}
--- a/internal/worker/guardian/stops_test.go
+++ b/internal/worker/guardian/stops_test.go
@@ -8,43 +8,43 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Guards against an owner that cannot know which runs are being stopped.
-func TestReportsTellWhichRunsAreBeingStopped(t *testing.T) {
+// Guards against an owner that cannot see which runs are being stopped.
+func TestReportsShowWhichRunsAreStopping(t *testing.T) {
 	worker := newFakeWorker()
-	b := newBedWith(t, worker, func(w *Worker) {
+	e := newTestEnvWith(t, worker, func(w *Worker) {
 		w.Stop = func(context.Context, StopCall) error { return errNoAnswer }
 	})
-	b.own(1)
-	b.order(1, messenger.WorkStart, 0, 1)
-	b.order(1, messenger.WorkStart, 1, 1)
-	b.until("two runs", func() bool { return b.confirmed() == 2 })
-	b.order(1, messenger.WorkStop, 0, 1)
-	for _, r := range b.report().Runs {
+	e.own(1)
+	e.order(1, messenger.WorkStart, 0, 1)
+	e.order(1, messenger.WorkStart, 1, 1)
+	e.until("two runs", func() bool { return e.confirmed() == 2 })
+	e.order(1, messenger.WorkStop, 0, 1)
+	for _, r := range e.report().Runs {
 		if want := r.Task == taskID(0).String(); r.Stopping != want {
-			t.Errorf("%s is told as being stopped: %t", r.Task, r.Stopping)
+			t.Errorf("%s is reported as stopping: %t", r.Task, r.Stopping)
 		}
 	}
 }
 
-// Guards against a worker that is asked again and again for a stop that it is carrying out.
-func TestAStopThatTakesItsTimeIsNotRepeated(t *testing.T) {
+// Guards against repeated stops of a run that the worker is already stopping.
+func TestSlowStopIsNotRepeated(t *testing.T) {
 	worker := newFakeWorker()
 	stops := 0
-	b := newBedWith(t, worker, func(w *Worker) {
+	e := newTestEnvWith(t, worker, func(w *Worker) {
 		w.Stop = func(ctx context.Context, c StopCall) error {
-			worker.change(func() { stops++ })
+			worker.withLock(func() { stops++ })
 			time.AfterFunc(300*time.Millisecond, func() { _ = worker.stop(ctx, c) })
 			return nil
 		}
 	})
-	b.own(1)
-	b.order(1, messenger.WorkStart, 0, 1)
-	b.until("a run", func() bool { return b.confirmed() == 1 })
-	b.order(1, messenger.WorkStop, 0, 1)
-	b.until("an end of the run", func() bool { return len(b.report().Runs) == 0 })
-	worker.change(func() {
+	e.own(1)
+	e.order(1, messenger.WorkStart, 0, 1)
+	e.until("a run", func() bool { return e.confirmed() == 1 })
+	e.order(1, messenger.WorkStop, 0, 1)
+	e.until("an end of the run", func() bool { return len(e.report().Runs) == 0 })
+	worker.withLock(func() {
 		if stops != 1 {
-			t.Errorf("the worker was asked %d times", stops)
+			t.Errorf("the worker got %d stops, want 1", stops)
 		}
 	})
 }
--- a/internal/worker/guardian/takeover_test.go
+++ b/internal/worker/guardian/takeover_test.go
@@ -7,84 +7,84 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// A cancelled job runs on for ever. A new owner answers an agent's first report and at
-// once orders the stop of a run that its job no longer wants; on the connection the order
-// overtakes the answer, which is the first that tells the agent of the new epoch. The
-// owner sees no reason to order the stop again, so the agent must obey it.
-func TestOrdersMayComeBeforeTheAnswerThatTellsOfTheEpoch(t *testing.T) {
+// Guards against a cancelled job that runs forever. A new owner replies to an agent's first
+// report and immediately orders the stop of a run that its job no longer needs. On the
+// connection the order overtakes the reply, which is the first message with the new epoch.
+// The owner has no reason to order the stop again, so the agent must carry it out.
+func TestOrdersMayArriveBeforeReplyWithEpoch(t *testing.T) {
 	worker := newFakeWorker()
-	b := newBed(t, worker)
-	b.own(1)
-	b.order(1, messenger.WorkStart, 0, 1)
-	b.until("a run", func() bool { return b.confirmed() == 1 })
-	b.sess = b.g.BeginSession()
-	b.order(2, messenger.WorkStop, 0, 1)
-	b.until("an end of the run", func() bool {
+	e := newTestEnv(t, worker)
+	e.own(1)
+	e.order(1, messenger.WorkStart, 0, 1)
+	e.until("a run", func() bool { return e.confirmed() == 1 })
+	e.session = e.g.BeginSession()
+	e.order(2, messenger.WorkStop, 0, 1)
+	e.until("an end of the run", func() bool {
 		n := 0
-		worker.change(func() { n = len(worker.runs) })
+		worker.withLock(func() { n = len(worker.runs) })
 		return n == 0
 	})
 }
 
-// Orders that are not carried out must be known as such to the owner: a stop that it
-// takes for given is never given again.
-func TestOrdersThatAreVoidAreRefused(t *testing.T) {
-	orders := func(b *bed) messenger.WorkOrders {
-		return messenger.WorkOrders{Epoch: 2, Session: b.sess, Life: b.worker.life}
+// Orders that are not carried out must be rejected visibly: the owner never repeats a stop
+// that it assumes to be given.
+func TestOutdatedOrdersAreRejected(t *testing.T) {
+	orders := func(e *testEnv) messenger.WorkOrders {
+		return messenger.WorkOrders{Epoch: 2, Session: e.session, Life: e.worker.incarnation}
 	}
 	tests := []struct {
-		name   string
-		change func(o *messenger.WorkOrders)
-		void   bool
+		name     string
+		change   func(o *messenger.WorkOrders)
+		rejected bool
 	}{
-		{"in force", func(*messenger.WorkOrders) {}, false},
-		{"of an earlier owner", func(o *messenger.WorkOrders) { o.Epoch = 1 }, true},
-		{"of an earlier session", func(o *messenger.WorkOrders) { o.Session-- }, true},
-		{"for another life of the worker", func(o *messenger.WorkOrders) { o.Life = "life-0" }, true},
+		{"current", func(*messenger.WorkOrders) {}, false},
+		{"earlier owner", func(o *messenger.WorkOrders) { o.Epoch = 1 }, true},
+		{"earlier session", func(o *messenger.WorkOrders) { o.Session-- }, true},
+		{"other incarnation of the worker", func(o *messenger.WorkOrders) { o.Life = "incarnation-0" }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(t, newFakeWorker())
-			b.own(2)
-			o := orders(b)
+			e := newTestEnv(t, newFakeWorker())
+			e.own(2)
+			o := orders(e)
 			tt.change(&o)
-			if err := b.g.Obey(o); (err != nil) != tt.void {
-				t.Errorf("answered with %v", err)
+			if err := e.g.Execute(o); (err != nil) != tt.rejected {
+				t.Errorf("Execute returned %v", err)
 			}
 		})
 	}
 }
 
-// A run stands still for ever, or disturbs at full speed. Two paces follow one another
-// within a millisecond, and the worker does not answer the first try of a call. The last
-// pace ordered must be the one in force, however often it takes.
-func TestTheLastPaceOrderedIsInForce(t *testing.T) {
+// Guards against a run that stalls, or interferes at full speed, forever. Two paces are
+// ordered within a millisecond, and the worker does not answer the first attempts. The last
+// ordered pace must be applied, however many attempts it takes.
+func TestLatestOrderedPaceIsApplied(t *testing.T) {
 	worker := newFakeWorker()
-	b := newBed(t, worker)
-	b.own(1)
-	b.order(1, messenger.WorkStart, 0, 1)
-	b.until("a run", func() bool { return b.confirmed() == 1 })
-	worker.change(func() { worker.deafToPaces = 2 })
-	b.pace(0)
-	b.pace(100)
+	e := newTestEnv(t, worker)
+	e.own(1)
+	e.order(1, messenger.WorkStart, 0, 1)
+	e.until("a run", func() bool { return e.confirmed() == 1 })
+	worker.withLock(func() { worker.lostPaces = 2 })
+	e.pace(0)
+	e.pace(100)
 	time.Sleep(10 * time.Millisecond)
-	b.until("the last pace", func() bool {
+	e.until("the last pace", func() bool {
 		ok := false
-		worker.change(func() { n := len(worker.paces); ok = n > 0 && worker.paces[n-1] == 100 })
+		worker.withLock(func() { n := len(worker.paces); ok = n > 0 && worker.paces[n-1] == 100 })
 		return ok
 	})
 }
 
-func (b *bed) pace(percent int) {
-	b.seq++
-	_ = b.g.Obey(messenger.WorkOrders{Epoch: 1, Session: b.sess, Life: b.worker.life, Orders: []messenger.WorkOrder{{
-		Seq: b.seq, Kind: messenger.WorkPace, Task: taskID(0).String(), Run: 1, Percent: percent,
+func (e *testEnv) pace(percent int) {
+	e.seq++
+	_ = e.g.Execute(messenger.WorkOrders{Epoch: 1, Session: e.session, Life: e.worker.incarnation, Orders: []messenger.WorkOrder{{
+		Seq: e.seq, Kind: messenger.WorkPace, Task: taskID(0).String(), Run: 1, Percent: percent,
 	}}})
 }
 
-// Guards against a run that stands still, or disturbs, for good: the worker refuses a pace
-// for a moment, and the owner believes that it is in force.
-func TestPacesThatAreRefusedForAMomentAreRepeated(t *testing.T) {
+// Guards against a run that stalls, or interferes, for good: the worker refuses a pace
+// temporarily, and the owner assumes that it is applied.
+func TestTemporarilyRefusedPaceIsRetried(t *testing.T) {
 	tests := []struct {
 		refusal RefusalReason
 		repeats bool
@@ -98,36 +98,35 @@
 	for _, tt := range tests {
 		t.Run(string(tt.refusal), func(t *testing.T) {
 			worker := newFakeWorker()
-			b := newBed(t, worker)
-			b.own(1)
-			b.order(1, messenger.WorkStart, 0, 1)
-			b.until("a run", func() bool { return b.confirmed() == 1 })
-			worker.change(func() { worker.refusePaces, worker.refusal = 2, tt.refusal })
-			b.pace(50)
+			e := newTestEnv(t, worker)
+			e.own(1)
+			e.order(1, messenger.WorkStart, 0, 1)
+			e.until("a run", func() bool { return e.confirmed() == 1 })
+			worker.withLock(func() { worker.refusedPaces, worker.refusal = 2, tt.refusal })
+			e.pace(50)
 			time.Sleep(6 * callPause)
-			worker.change(func() {
+			worker.withLock(func() {
 				if got := len(worker.paces) == 1; got != tt.repeats {
-					t.Errorf("%d paces are in force, %d refusals left", len(worker.paces), worker.refusePaces)
+					t.Errorf("%d paces were applied, %d refusals left", len(worker.paces), worker.refusedPaces)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a run that goes on for good: the worker answers its stop and does not
-// carry it out.
-func TestStopsThatHaveNoEffectAreRepeated(t *testing.T) {
+// Guards against a run that never ends: the worker answers its stop without carrying it out.
+func TestStopWithoutEffectIsRepeated(t *testing.T) {
 	worker := newFakeWorker()
-	b := newBed(t, worker)
-	b.own(1)
-	b.order(1, messenger.WorkStart, 0, 1)
-	b.until("a run", func() bool { return b.confirmed() == 1 })
-	worker.change(func() { worker.idleStops = 2 })
-	b.order(1, messenger.WorkStop, 0, 1)
-	b.until("an end of the run", func() bool { return len(b.report().Runs) == 0 })
-	worker.change(func() {
+	e := newTestEnv(t, worker)
+	e.own(1)
+	e.order(1, messenger.WorkStart, 0, 1)
+	e.until("a run", func() bool { return e.confirmed() == 1 })
+	worker.withLock(func() { worker.ignoredStops = 2 })
+	e.order(1, messenger.WorkStop, 0, 1)
+	e.until("an end of the run", func() bool { return len(e.report().Runs) == 0 })
+	worker.withLock(func() {
 		if got := len(worker.stops); got != 3 {
-			t.Errorf("the worker was asked %d times, want 3: once for each that had no effect", got)
+			t.Errorf("the worker got %d stops, want 3: two without effect and one that was carried out", got)
 		}
 	})
 }
--- /dev/null
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -0,0 +1,112 @@
+package guardian
+
+import (
+	"context"
+	"time"
+
+	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/kernel/pauser"
+	"bamboospread/internal/kernel/reporter"
+	"bamboospread/internal/wire/messenger"
+)
+
+// unconfirmedStart is a start that was not answered. It blocks its task only while the run is
+// listed. The record is kept longer, and each later incarnation of the worker is asked to
+// refuse the start.
+type unconfirmedStart struct {
+	sentAt      time.Time
+	incarnation string // latest incarnation of the worker that got the start or was asked to refuse it
+}
+
+func (g *Guardian) recordUnconfirmedStart(key accountant.RunKey) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.recordUnconfirmedStartLocked(key)
+}
+
+// recordUnconfirmedStartLocked records a start that was not answered, even if it was stopped
+// afterwards: the next incarnation of the worker has no record of the stop.
+func (g *Guardian) recordUnconfirmedStartLocked(key accountant.RunKey) {
+	now := g.config.Now()
+	if r := g.runs[key]; r != nil {
+		r.startCallEndedAt = now
+	}
+	g.unconfirmedStarts[key] = unconfirmedStart{sentAt: now, incarnation: g.incarnation}
+	g.dropExpiredStartsLocked()
+}
+
+func (g *Guardian) dropExpiredStartsLocked() {
+	now := g.config.Now()
+	for k, d := range g.unconfirmedStarts {
+		if now.Sub(d.sentAt) >= accountant.DoubtLife {
+			delete(g.unconfirmedStarts, k)
+		}
+	}
+}
+
+// unconfirmedStartsLocked lists the unconfirmed starts.
+func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkDoubt {
+	g.dropExpiredStartsLocked()
+	var all []messenger.WorkDoubt
+	for key, d := range g.unconfirmedStarts {
+		all = append(all, messenger.WorkDoubt{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
+	}
+	return all
+}
+
+// adoptUnconfirmedStartLocked adopts a start sent by an earlier process of this agent, unless
+// the worker is known to have the run.
+func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkDoubt) {
+	id, err := specifier.ParseTaskID(d.Task)
+	if err != nil {
+		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": d.Task, "error": err.Error()})
+		return
+	}
+	key := accountant.RunKey{Task: id, Number: d.Run}
+	if _, known := g.unconfirmedStarts[key]; known || g.runs[key] != nil && g.runs[key].confirmed {
+		return
+	}
+	g.unconfirmedStarts[key] = unconfirmedStart{sentAt: g.config.Now().Add(-time.Duration(d.AgeMillis) * time.Millisecond)}
+}
+
+// fenceUnconfirmedStartsLocked asks the current incarnation of the worker to refuse the
+// unconfirmed starts that it has not been asked to refuse yet.
+func (g *Guardian) fenceUnconfirmedStartsLocked() {
+	g.dropExpiredStartsLocked()
+	for key, d := range g.unconfirmedStarts {
+		if d.incarnation == g.incarnation || g.incarnation == "" {
+			continue
+		}
+		d.incarnation = g.incarnation
+		g.unconfirmedStarts[key] = d
+		if g.runs[key] == nil { // otherwise it is already being stopped
+			g.config.Reporter.Report(reporter.RunStopped, reporter.Fields{"task": key.Task.String(), "run": key.Number, "cause": "unconfirmed start", "life": g.incarnation})
+			go g.fence(g.runCtx, key, g.incarnation)
+		}
+	}
+}
+
+// fence asks one incarnation of the worker to refuse a start, until it answers.
+func (g *Guardian) fence(ctx context.Context, key accountant.RunKey, incarnation string) {
+	pause := callPause
+	for ctx.Err() == nil {
+		g.mu.Lock()
+		s, ok := g.unconfirmedStarts[key]
+		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.DoubtLife
+		epoch := g.epoch
+		g.mu.Unlock()
+		if done {
+			return
+		}
+		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		err := g.config.Worker.Stop(callCtx, StopCall{Task: key.Task, Run: key.Number, Epoch: epoch})
+		cancel()
+		if err == nil {
+			return
+		}
+		g.config.Reporter.Report(reporter.StopUnanswered, reporter.Fields{"task": key.Task.String(), "run": key.Number, "error": err.Error()})
+		_ = pauser.Pause(ctx, pause)
+		pause = min(2*pause, callPauseMax)
+	}
+}
--- a/internal/worker/guardian/worker.go
+++ b/internal/worker/guardian/worker.go
@@ -9,9 +9,9 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Worker holds the calls of a VM's worker as function fields. A call returns
-// ErrRefused if the worker surely did nothing and never will; any other error
-// leaves open whether and when the call is carried out.
+// Worker holds the calls of a VM's worker as function fields. A call returns ErrRefused if
+// the worker did nothing and never will. After any other error the call may still be carried
+// out at any time.
 type Worker struct {
 	Start func(ctx context.Context, c StartCall) error
 	Stop  func(ctx context.Context, c StopCall) error
@@ -19,21 +19,21 @@
 	Look  func(ctx context.Context, c LookCall) (Look, error)
 }
 
-// StartCall asks for a run. A run that the worker has already is confirmed. A call that is
-// carried out late starts nothing once its time is over, nor in another life of the worker.
+// StartCall requests a run. A run that the worker already has is confirmed. A call that is
+// carried out late starts nothing after its expiry or in another incarnation of the worker.
 type StartCall struct {
 	Task       specifier.TaskID
 	Run        int64
 	Payload    string
 	Checkpoint string
 	Ticket     string
-	Epoch      int64         // the worker refuses one below the highest it has seen
-	Life       string        // of the worker; every other one refuses the call
-	Until      time.Duration // on the worker's clock, which refuses the call afterwards; all that runs there has a lease until then
+	Epoch      int64         // the worker refuses an epoch below the highest it has seen
+	Life       string        // of the worker; any other incarnation refuses the call
+	Until      time.Duration // on the worker's clock, which refuses the call afterwards; all runs of the worker have a lease until then
 }
 
-// StopCall asks for the end of a run. Once it is answered, the worker refuses the
-// run for good if it has not come yet.
+// StopCall requests the end of a run. Once it is answered, the worker refuses the run
+// permanently if it has not arrived yet.
 type StopCall struct {
 	Task  specifier.TaskID
 	Run   int64
@@ -48,32 +48,32 @@
 	Epoch   int64
 }
 
-// LookCall renews the leases and asks what runs.
+// LookCall polls the status of the worker: it renews the leases and lists what runs.
 type LookCall struct {
 	Epoch      int64
-	Seen       int64         // ends up to this number may be forgotten
+	Seen       int64         // the worker may drop ends up to this number
 	LeaseUntil time.Duration // on the worker's clock; 0: no renewal
-	Wait       time.Duration // how long the answer may wait for an end
+	Wait       time.Duration // how long the answer may wait for a run to end
 }
 
-// Look is what a worker says.
+// Look is the status that a worker returns.
 type Look struct {
-	Life  string        // changes whenever the worker has forgotten everything
+	Life  string        // incarnation of the worker; changes whenever the worker has lost its state
 	Clock time.Duration // of the worker, when it answered
 	Runs  []SeenRun
 	Ends  []SeenEnd
 }
 
-// SeenRun is a run at the worker.
+// SeenRun is a run on the worker.
 type SeenRun struct {
 	Task       specifier.TaskID
 	Run        int64
 	Checkpoint string
 	Progress   int   // percent
-	Measure    int64 // tail latency in ms of a lasting task with a target, else thousandths of a core in use
+	Measure    int64 // tail latency in ms for a long-running task with a target, else CPU use in thousandths of a core
 }
 
-// SeenEnd is an end that the worker has not been told to forget.
+// SeenEnd is an ended run that the worker has not been allowed to drop yet.
 type SeenEnd struct {
 	Seq        int64
 	Task       specifier.TaskID
@@ -82,9 +82,9 @@
 	Checkpoint string
 }
 
-// Announcement is what a worker says of itself unasked.
+// Announcement is what a worker announces about itself.
 type Announcement struct {
-	ID       string // by which an advising service knows the worker; empty if none does
+	ID       string // identifies the worker to the advising service; empty without one
 	Life     string
 	Zone     string
 	Rack     string
@@ -94,38 +94,38 @@
 	Leaving  bool
 }
 
-// RefusalReason tells why a worker refused a start.
+// RefusalReason is the reason why a worker refused a call.
 type RefusalReason string
 
 // Reasons of refusals.
 const (
-	RefusedEpoch     RefusalReason = "epoch"     // the worker has seen a higher one
-	RefusedRun       RefusalReason = "run"       // a run that is not lower was stopped or ended there
-	RefusedLease     RefusalReason = "lease"     // the lease had run out when the call came
-	RefusedRoom      RefusalReason = "room"      // it does not fit
-	RefusedTicket    RefusalReason = "ticket"    // it needs another ticket
-	RefusedUnhealthy RefusalReason = "unhealthy" // the worker takes nothing
-	RefusedLife      RefusalReason = "life"      // it was meant for another life of the worker
-	RefusedMalformed RefusalReason = "malformed" // the worker cannot read it
+	RefusedEpoch     RefusalReason = "epoch"     // the worker has seen a higher epoch
+	RefusedRun       RefusalReason = "run"       // this run, or a later one of the task, was stopped or ended there
+	RefusedLease     RefusalReason = "lease"     // the lease had expired when the call arrived
+	RefusedRoom      RefusalReason = "room"      // not enough free capacity
+	RefusedTicket    RefusalReason = "ticket"    // another ticket is required
+	RefusedUnhealthy RefusalReason = "unhealthy" // the worker accepts no calls at present
+	RefusedLife      RefusalReason = "life"      // the call was meant for another incarnation of the worker
+	RefusedMalformed RefusalReason = "malformed" // the worker cannot parse the call
 )
 
-// passes tells whether the same call may be taken a moment later.
-func (r RefusalReason) passes() bool { return r == RefusedUnhealthy || r == RefusedEpoch }
+// retryable reports whether the same call may be accepted a moment later.
+func (r RefusalReason) retryable() bool { return r == RefusedUnhealthy || r == RefusedEpoch }
 
-// ErrWorkerNotExist is returned by a look when no process listens where the worker
-// was: it has ended, and everything that it ran with it.
+// ErrWorkerNotExist is returned by calls when no process listens at the worker's address: the
+// worker has ended, and all its runs with it.
 type ErrWorkerNotExist struct{ Cause error }
 
 func (e ErrWorkerNotExist) Error() string { return fmt.Sprintf("no worker: %v", e.Cause) }
 func (e ErrWorkerNotExist) Unwrap() error { return e.Cause }
 
-// IsErrWorkerNotExist tells whether err is, or wraps, an ErrWorkerNotExist.
+// IsErrWorkerNotExist reports whether err is, or wraps, an ErrWorkerNotExist.
 func IsErrWorkerNotExist(err error) bool {
 	var target ErrWorkerNotExist
 	return errors.As(err, &target)
 }
 
-// ErrRefused is returned for a call that surely had no effect.
+// ErrRefused is returned for a call that had no effect and never will.
 type ErrRefused struct{ Reason RefusalReason }
 
 func (e ErrRefused) Error() string { return fmt.Sprintf("worker refused: %s", e.Reason) }
