--- a/internal/worker/attender/attender.go
+++ b/internal/worker/attender/attender.go
@@ -1,5 +1,5 @@
-// Package attender keeps an agent's session with the owner of its cell: it finds
-// the owner, reports to it and hands its orders to the guardian.
+// Package attender maintains an agent's session with the owner of its cell: it finds the
+// owner, reports to it and passes its orders to the guardian.
 package attender
 
 import (
@@ -18,52 +18,53 @@
 	"bamboospread/internal/worker/guardian"
 )
 
-// Lengths.
+// Intervals and timeouts.
 const (
-	// reportEvery is the longest pause between reports. The owner gives up on an
-	// agent that is silent three times as long.
-	reportEvery = 400 * time.Millisecond
-	// reportGap is the shortest, unless the owner wants a longer one: ends that come
-	// together share a report.
-	reportGap   = 20 * time.Millisecond
-	reportLimit = time.Second // for an answer; a silent connection shows only by this
-	// dialLimit is long against the farthest peer, some 30 ms away and back. A VM without
-	// power does not even refuse, and agents must look for its successor meanwhile.
-	dialLimit  = 300 * time.Millisecond
-	storeLimit = time.Second
-	// findPause is the pause after a failure, doubled with each in a row up to
-	// findPauseMax. An owner is replaced within 3 s; without growth, agents whose
-	// calls time out on an overloaded entry open connections faster than it can
-	// take them, and it never recovers. While nobody is known to own the cell
-	// there is nobody to overload, and the pause does not grow: with growth, agents
-	// found the owner up to 1.3 s after it had taken over, and work waited for the last.
-	findPause    = 150 * time.Millisecond
-	findPauseMax = 1200 * time.Millisecond
-	// askEvery is how often at most the entries are asked while the store does not
-	// answer: each question is a connection, of every agent to every entry.
-	askEvery = 600 * time.Millisecond
+	// maxReportInterval is the longest pause between reports. The owner gives up on an agent
+	// without a report for three times as long.
+	maxReportInterval = 400 * time.Millisecond
+	// minReportInterval is the shortest pause between reports, unless the owner asks for a
+	// longer one, so that ends that occur together share a report.
+	minReportInterval = 20 * time.Millisecond
+	reportTimeout     = time.Second // for a reply; a connection that no longer responds is detected only by this
+	// dialTimeout is long compared with the round trip to the farthest peer, about 30 ms. A
+	// VM without power does not even refuse a connection, and agents must look for a new
+	// owner in the meantime.
+	dialTimeout  = 300 * time.Millisecond
+	storeTimeout = time.Second
+	// retryPause is the pause after a failure. It doubles with each consecutive failure up to
+	// retryPauseMax. An owner is replaced within 3 s. Without backoff, agents whose calls
+	// time out on an overloaded entry open connections faster than it can accept them, and it
+	// never recovers. While the cell has no known owner, no entry can be overloaded and the
+	// pause stays constant: with backoff, agents found the new owner up to 1.3 s after its
+	// takeover, and work waited for the last agent.
+	retryPause    = 150 * time.Millisecond
+	retryPauseMax = 1200 * time.Millisecond
+	// askInterval is the minimum time between queries of the entries while the store does not
+	// answer: each query opens a connection from every agent to every entry.
+	askInterval = 600 * time.Millisecond
 )
 
 // Config holds the settings of an Attender.
 type Config struct {
 	Cell     string
 	Guardian *guardian.Guardian
-	// GetRecord reads the store, for the owner's address; nil if agents do not
-	// reach the store.
+	// GetRecord reads the owner's address from the store. It is nil if agents cannot reach
+	// the store.
 	GetRecord func(ctx context.Context, key string) (keeper.Record, error)
-	Entries   []string // addresses to ask for the owner first
+	Entries   []string // addresses of the entries to query before any other is known
 	Now       func() time.Time
 	Reporter  *reporter.Reporter
 }
 
-// Attender keeps the session. Run must be called once.
+// Attender maintains the session. Run must be called once.
 type Attender struct {
-	config   Config
-	abridger *abridger.Abridger
-	entries  []messenger.PeerAddress // to ask when the store does not answer
-	lost     bool
-	pause    time.Duration // after the next failure
-	asked    time.Time     // when the entries were last asked
+	config         Config
+	abridger       *abridger.Abridger
+	entries        []messenger.PeerAddress // queried when the store does not answer
+	ownerLost      bool
+	pause          time.Duration // after the next failure
+	entriesAskedAt time.Time     // when the entries were last queried
 }
 
 // New returns an Attender.
@@ -75,39 +76,39 @@
 	return a
 }
 
-// Run finds owners and keeps sessions with them until ctx ends.
+// Run finds owners and maintains sessions with them until ctx ends.
 func (a *Attender) Run(ctx context.Context) error {
-	a.pause = findPause
+	a.pause = retryPause
 	for ctx.Err() == nil {
 		if err := a.attend(ctx); err != nil && ctx.Err() == nil {
-			a.noteLost(err)
+			a.logOwnerLost(err)
 			var unknown errOwnerUnknown
 			if errors.As(err, &unknown) {
-				a.pause = findPause
+				a.pause = retryPause
 			}
 			_ = pauser.Pause(ctx, a.pause)
-			a.pause = min(2*a.pause, findPauseMax)
+			a.pause = min(2*a.pause, retryPauseMax)
 		}
 	}
 	return ctx.Err()
 }
 
-// noteLost logs once when the owner is lost, not at each try.
-func (a *Attender) noteLost(err error) {
-	if !a.lost {
-		a.lost = true
+// logOwnerLost logs the loss of the owner once, not on every attempt.
+func (a *Attender) logOwnerLost(err error) {
+	if !a.ownerLost {
+		a.ownerLost = true
 		a.config.Reporter.Report(reporter.OwnerLost, reporter.Fields{"error": err.Error()})
 	}
 }
 
-// attend keeps one session until it fails.
+// attend runs one session until it fails.
 func (a *Attender) attend(ctx context.Context) error {
-	owner, err := a.find(ctx)
+	owner, err := a.findOwner(ctx)
 	if err != nil {
 		return err
 	}
-	dial, cancel := context.WithTimeout(ctx, dialLimit)
-	conn, err := connector.Dial(dial, owner.Address, a.handle)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, err := connector.Dial(dialCtx, owner.Address, a.handle)
 	cancel()
 	if err != nil {
 		return err
@@ -128,28 +129,28 @@
 func (a *Attender) report(ctx context.Context, conn *connector.Conn, session int64) error {
 	rep, ok := a.config.Guardian.Report(session)
 	if !ok {
-		return nil // nothing is known of the worker yet
+		return nil // the state of the worker is not known yet
 	}
 	sentAt := a.config.Now()
-	limit, cancel := context.WithTimeout(ctx, reportLimit)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply messenger.WorkReply
-	if err := conn.Call(limit, messenger.MethodWorkReport, a.abridger.Abridge(rep), &reply); err != nil {
+	if err := conn.Call(callCtx, messenger.MethodWorkReport, a.abridger.Abridge(rep), &reply); err != nil {
 		return err
 	}
 	if !a.config.Guardian.ApplyReply(sentAt, rep.Life, reply) {
-		return fmt.Errorf("owner %s has epoch %d, which is over", conn.Remote(), reply.Epoch)
+		return fmt.Errorf("reply from owner %s with outdated epoch %d", conn.Remote(), reply.Epoch)
 	}
 	if len(reply.Entries) > 0 {
 		a.entries = reply.Entries
 	}
-	a.lost, a.pause = false, findPause
+	a.ownerLost, a.pause = false, retryPause
 	return nil
 }
 
 // wait returns when the next report is due.
 func (a *Attender) wait(ctx context.Context, conn *connector.Conn) error {
-	timer := time.NewTimer(reportEvery)
+	timer := time.NewTimer(maxReportInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -157,13 +158,13 @@
 	case <-conn.Done():
 		return fmt.Errorf("connection to owner %s ended", conn.Remote())
 	case <-a.config.Guardian.Wake():
-		return pauser.Pause(ctx, max(reportGap, a.config.Guardian.ReportGap()))
+		return pauser.Pause(ctx, max(minReportInterval, a.config.Guardian.ReportGap()))
 	case <-timer.C:
 		return nil
 	}
 }
 
-// handle answers the owner's calls.
+// handle answers calls of the owner.
 func (a *Attender) handle(_ context.Context, _ *connector.Conn, method string, params json.RawMessage) (any, error) {
 	if method != messenger.MethodWorkOrders {
 		return nil, connector.Errorf(messenger.CodeBadRequest, "unknown method %s", method)
@@ -179,47 +180,49 @@
 	return messenger.Empty{}, nil
 }
 
-// errTakingOver is returned while an entry prepares to own the cell.
+// errTakingOver is returned while an entry is preparing to own the cell.
 type errTakingOver struct{ entry string }
 
 func (e errTakingOver) Error() string {
 	return fmt.Sprintf("entry %s is taking the cell over", e.entry)
 }
 
-// errOwnerUnknown is returned while nobody is known to own the cell: no connection to
-// an owner was tried.
+// errOwnerUnknown is returned while the cell has no known owner, so that no connection to an
+// owner was attempted.
 type errOwnerUnknown struct{ cause error }
 
-func (e errOwnerUnknown) Error() string { return fmt.Sprintf("owner not known: %v", e.cause) }
+func (e errOwnerUnknown) Error() string {
+	return fmt.Sprintf("owner of the cell is not known: %v", e.cause)
+}
 func (e errOwnerUnknown) Unwrap() error { return e.cause }
 
 // errNoOwner is returned when no entry could name an owner.
-var errNoOwner = errors.New("no entry knows an owner")
+var errNoOwner = errors.New("no entry could name the owner of the cell")
 
-// find asks the store for the owner, then the entries that are known.
-func (a *Attender) find(ctx context.Context) (messenger.CellOwner, error) {
+// findOwner looks the owner up in the store, then asks the known entries.
+func (a *Attender) findOwner(ctx context.Context) (messenger.CellOwner, error) {
 	if a.config.GetRecord == nil {
-		return a.askEntries(ctx)
+		return a.ownerFromEntries(ctx)
 	}
-	o, err := a.askStore(ctx)
+	o, err := a.ownerFromStore(ctx)
 	if err == nil {
 		return o, nil
 	}
 	var takingOver errTakingOver
 	answered := keeper.IsErrKeyNotExist(err) || errors.As(err, &takingOver)
-	if now := a.config.Now(); !answered && now.Sub(a.asked) >= askEvery {
-		a.asked = now
-		if o, askErr := a.askEntries(ctx); askErr == nil {
+	if now := a.config.Now(); !answered && now.Sub(a.entriesAskedAt) >= askInterval {
+		a.entriesAskedAt = now
+		if o, askErr := a.ownerFromEntries(ctx); askErr == nil {
 			return o, nil
 		}
 	}
 	return messenger.CellOwner{}, errOwnerUnknown{err}
 }
 
-func (a *Attender) askStore(ctx context.Context) (o messenger.CellOwner, err error) {
-	limit, cancel := context.WithTimeout(ctx, storeLimit)
+func (a *Attender) ownerFromStore(ctx context.Context) (o messenger.CellOwner, err error) {
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	record, err := a.config.GetRecord(limit, fmt.Sprintf("cells/%s/owner", a.config.Cell))
+	record, err := a.config.GetRecord(callCtx, fmt.Sprintf("cells/%s/owner", a.config.Cell))
 	if err != nil {
 		return o, err
 	}
@@ -232,10 +235,10 @@
 	return o, nil
 }
 
-func (a *Attender) askEntries(ctx context.Context) (messenger.CellOwner, error) {
+func (a *Attender) ownerFromEntries(ctx context.Context) (messenger.CellOwner, error) {
 	err := errNoOwner
 	for _, e := range a.entries {
-		o, askErr := ask(ctx, e.Address)
+		o, askErr := askEntry(ctx, e.Address)
 		if askErr == nil && o.Epoch > 0 {
 			return o, nil
 		}
@@ -246,10 +249,10 @@
 	return messenger.CellOwner{}, err
 }
 
-func ask(ctx context.Context, address string) (messenger.CellOwner, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+func askEntry(ctx context.Context, address string) (messenger.CellOwner, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := connector.Dial(ctx, address, refuse)
+	conn, err := connector.Dial(ctx, address, rejectCall)
 	if err != nil {
 		return messenger.CellOwner{}, err
 	}
@@ -259,6 +262,6 @@
 	return w.Owner, err
 }
 
-func refuse(_ context.Context, _ *connector.Conn, method string, _ json.RawMessage) (any, error) {
+func rejectCall(_ context.Context, _ *connector.Conn, method string, _ json.RawMessage) (any, error) {
 	return nil, connector.Errorf(messenger.CodeBadRequest, "unknown method %s", method)
 }
