--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/steerer/protocol.go
@@ -1,5 +1,5 @@
-// Package steerer is the client of an executor: the process on a VM that runs the
-// tasks of jobs under leases, and its protocol, HTTP with JSON in kebab case.
+// Package steerer is the client of an executor, the process on a VM that runs the tasks of
+// jobs under leases. It defines the executor's protocol: HTTP with JSON in kebab case.
 package steerer
 
 import (
@@ -8,7 +8,7 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Paths of the executor's interface. All are POSTs but PathVM.
+// Paths of the executor's API. All are POSTs except PathVM.
 const (
 	PathVM    = "/v1/vm"    // GET: VM
 	PathStart = "/v1/start" // Start
@@ -17,11 +17,11 @@
 	PathLook  = "/v1/look"  // Look, Seen
 )
 
-// HeaderLife names the life of the executor that a call is meant for. Every other one refuses
-// it, whenever it is carried out.
+// HeaderLife carries the incarnation of the executor that a call is meant for. Any other
+// incarnation refuses the call, whenever it arrives.
 const HeaderLife = "Bamboospread-Executor-Life"
 
-// VM is what an executor says of itself.
+// VM is an executor's description of itself.
 type VM struct {
 	Life     string              `json:"life"`
 	Capacity specifier.Resources `json:"capacity"`
@@ -29,7 +29,7 @@
 	Leaving  bool                `json:"leaving,omitempty"`
 }
 
-// Start asks for a run. Times are ms on the executor's clock.
+// Start requests a run. Times are ms on the executor's clock.
 type Start struct {
 	Task        string `json:"task"`
 	Run         int64  `json:"run"`
@@ -37,10 +37,11 @@
 	Checkpoint  string `json:"checkpoint,omitempty"`
 	Ticket      string `json:"ticket,omitempty"`
 	Epoch       int64  `json:"epoch"`
-	LeaseMillis int64  `json:"lease-until-ms"` // all runs have a lease until then; refused afterwards
+	LeaseMillis int64  `json:"lease-until-ms"` // all runs have a lease until then; the start is refused afterwards
 }
 
-// Stop asks for the end of a run, or marks it so that it never starts.
+// Stop requests the end of a run. A run that has not started yet is marked so that it never
+// starts.
 type Stop struct {
 	Task  string `json:"task"`
 	Run   int64  `json:"run"`
@@ -55,7 +56,7 @@
 	Epoch   int64  `json:"epoch"`
 }
 
-// Look renews the leases, lets ends be forgotten and asks what runs.
+// Look renews the leases, allows ends to be dropped and polls what runs.
 type Look struct {
 	Epoch       int64 `json:"epoch"`
 	Seen        int64 `json:"seen"`
@@ -71,7 +72,7 @@
 	Ends        []End  `json:"ends"`
 }
 
-// Run is a run at the executor.
+// Run is a run on the executor.
 type Run struct {
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
@@ -80,7 +81,7 @@
 	Measure    int64  `json:"measure"`
 }
 
-// End is a run that ended and was not forgotten.
+// End is an ended run that was not dropped yet.
 type End struct {
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
@@ -89,7 +90,7 @@
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// Refusal is the body of status 409: nothing was done and nothing will be.
+// Refusal is the body of status 409: the call had no effect and never will.
 type Refusal struct {
 	Reason string `json:"reason"` // guardian.RefusalReason
 }
--- a/internal/worker/steerer/steerer.go
+++ b/internal/worker/steerer/steerer.go
@@ -16,10 +16,10 @@
 	"bamboospread/internal/worker/guardian"
 )
 
-// Lengths of calls.
+// Timeouts and intervals.
 const (
-	callLimit     = 3 * time.Second
-	describeEvery = time.Second
+	callTimeout      = 3 * time.Second
+	describeInterval = time.Second
 )
 
 // Config holds the settings of a Steerer.
@@ -35,26 +35,26 @@
 
 // Steerer calls one executor. It is safe for concurrent use.
 type Steerer struct {
-	config Config
-	client *http.Client
-	mu     sync.Mutex
-	life   string
+	config      Config
+	client      *http.Client
+	mu          sync.Mutex
+	incarnation string
 }
 
 // New returns a Steerer.
 func New(c Config) *Steerer {
 	if c.DescribeEvery <= 0 {
-		c.DescribeEvery = describeEvery
+		c.DescribeEvery = describeInterval
 	}
-	return &Steerer{config: c, client: &http.Client{Timeout: callLimit}}
+	return &Steerer{config: c, client: &http.Client{Timeout: callTimeout}}
 }
 
 // Calls returns the calls for a guardian.
 func (s *Steerer) Calls() guardian.Worker {
-	return guardian.Worker{Start: s.start, Stop: s.stop, Pace: s.pace, Look: s.look}
+	return guardian.Worker{Start: s.start, Stop: s.stop, Pace: s.pace, Look: s.poll}
 }
 
-// Run asks the executor for its description until ctx ends.
+// Run polls the executor's description until ctx ends.
 func (s *Steerer) Run(ctx context.Context) error {
 	for {
 		if err := s.describe(ctx); err != nil && ctx.Err() == nil {
@@ -68,11 +68,11 @@
 
 func (s *Steerer) describe(ctx context.Context) error {
 	var vm VM
-	if err := s.call(ctx, http.MethodGet, PathVM, s.lastLife(), nil, &vm); err != nil {
+	if err := s.call(ctx, http.MethodGet, PathVM, s.lastIncarnation(), nil, &vm); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.life = vm.Life
+	s.incarnation = vm.Life
 	s.mu.Unlock()
 	s.config.Announced(guardian.Announcement{
 		Life: vm.Life, Zone: s.config.Zone, Rack: s.config.Rack, Service: s.config.Service,
@@ -81,15 +81,15 @@
 	return nil
 }
 
-// lastLife returns the life of the executor that last described itself.
-func (s *Steerer) lastLife() string {
+// lastIncarnation returns the incarnation of the executor's latest description.
+func (s *Steerer) lastIncarnation() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life
+	return s.incarnation
 }
 
-// call makes a call that is meant for one life of the executor.
-func (s *Steerer) call(ctx context.Context, method, path, life string, body, answer any) error {
+// call makes a call that is meant for one incarnation of the executor.
+func (s *Steerer) call(ctx context.Context, method, path, incarnation string, body, answer any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	r.Header.Set(HeaderLife, life)
+	r.Header.Set(HeaderLife, incarnation)
 	reply, err := s.client.Do(r)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return guardian.ErrWorkerNotExist{Cause: err}
@@ -131,16 +131,16 @@
 }
 
 func (s *Steerer) stop(ctx context.Context, c guardian.StopCall) error {
-	return s.call(ctx, http.MethodPost, PathStop, s.lastLife(), Stop{Task: c.Task.String(), Run: c.Run, Epoch: c.Epoch}, nil)
+	return s.call(ctx, http.MethodPost, PathStop, s.lastIncarnation(), Stop{Task: c.Task.String(), Run: c.Run, Epoch: c.Epoch}, nil)
 }
 
 func (s *Steerer) pace(ctx context.Context, c guardian.PaceCall) error {
-	return s.call(ctx, http.MethodPost, PathPace, s.lastLife(), Pace{Task: c.Task.String(), Run: c.Run, Percent: c.Percent, Epoch: c.Epoch}, nil)
+	return s.call(ctx, http.MethodPost, PathPace, s.lastIncarnation(), Pace{Task: c.Task.String(), Run: c.Run, Percent: c.Percent, Epoch: c.Epoch}, nil)
 }
 
-func (s *Steerer) look(ctx context.Context, c guardian.LookCall) (guardian.Look, error) {
+func (s *Steerer) poll(ctx context.Context, c guardian.LookCall) (guardian.Look, error) {
 	var a Seen
-	if err := s.call(ctx, http.MethodPost, PathLook, s.lastLife(), Look{Epoch: c.Epoch, Seen: c.Seen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
+	if err := s.call(ctx, http.MethodPost, PathLook, s.lastIncarnation(), Look{Epoch: c.Epoch, Seen: c.Seen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
 		return guardian.Look{}, err
 	}
 	l := guardian.Look{Life: a.Life, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
