--- a/internal/job/accountant/record.go
+++ b/internal/job/accountant/record.go
@@ -235,7 +235,7 @@
 
 // EncodeRemains returns what the store keeps of a job that has ended.
 func (j *Job) EncodeRemains() ([]byte, error) {
-	b, err := json.Marshal(j.Spec.Remains(string(j.State), j.EndedAt))
+	b, err := json.Marshal(j.Spec.Tombstone(string(j.State), j.EndedAt))
 	if err != nil {
 		return nil, fmt.Errorf("encode remains of job %s: %w", j.Spec.ID, err)
 	}
--- a/internal/job/specifier/check.go
+++ b/internal/job/specifier/check.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Bounds of scheduled occurrences, far above any use: their times must not overflow.
+// Bounds of scheduled occurrences, far above any real use, so that their times cannot
+// overflow.
 const maxInterval = 366 * 24 * time.Hour
 
-var lastStart = time.Date(2999, time.December, 31, 0, 0, 0, 0, time.UTC)
+var maxFirstStart = time.Date(2999, time.December, 31, 0, 0, 0, 0, time.UTC)
 
-// Check returns every fault of a job, joined, or nil. A job that fails it could
-// never run as its caller meant.
+// Check returns all errors of a job, joined, or nil if it is valid. An invalid job could
+// never run as its caller intended.
 func Check(j *Job) error {
 	var errs []error
 	add := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
@@ -26,13 +27,13 @@
 		add("steps: %d, want 1 to %d", len(j.Steps), MaxSteps)
 	}
 	if j.Occurrences < 0 || j.IntervalMillis < 0 || j.FirstMillis < 0 {
-		add("occurrences, their start and their interval must not be negative")
+		add("occurrences, first-ms and interval-ms must not be negative: %d, %d and %d", j.Occurrences, j.FirstMillis, j.IntervalMillis)
 	}
 	if j.Occurrences > MaxOccurrences {
 		add("occurrences: %d, at most %d", j.Occurrences, MaxOccurrences)
 	}
-	if j.IntervalMillis > maxInterval.Milliseconds() || j.FirstMillis > lastStart.UnixMilli() {
-		add("occurrences: an interval of %d ms from %d ms on, at most %s and from %s on", j.IntervalMillis, j.FirstMillis, maxInterval, lastStart)
+	if j.IntervalMillis > maxInterval.Milliseconds() || j.FirstMillis > maxFirstStart.UnixMilli() {
+		add("occurrences: interval-ms %d and first-ms %d, want an interval of at most %s and a first start no later than %s", j.IntervalMillis, j.FirstMillis, maxInterval, maxFirstStart)
 	}
 	tasks := 0
 	for i, s := range j.Steps {
@@ -40,7 +41,7 @@
 		tasks += max(s.Count, 0)
 	}
 	if tasks > MaxTasks {
-		add("steps: %d tasks together, at most %d", tasks, MaxTasks)
+		add("steps: %d tasks in total, at most %d", tasks, MaxTasks)
 	}
 	return errors.Join(errs...)
 }
@@ -54,9 +55,9 @@
 		add("count %d, want 1 to %d", s.Count, MaxTasks)
 	}
 	if s.Needs.CPUMillis < 0 || s.Needs.MemoryMB < 0 || s.Needs.GPUs < 0 || s.EstimateMillis < 0 || s.MaxPerVM < 0 || s.MaxAway < 0 || s.TailMillis < 0 {
-		add("sizes, durations and bounds must not be negative")
+		add("sizes, durations and bounds must not be negative: needs %+v, estimate-ms %d, max-per-vm %d, max-away %d, tail-target %d", s.Needs, s.EstimateMillis, s.MaxPerVM, s.MaxAway, s.TailMillis)
 	}
-	// Only earlier steps may be named, so a job cannot wait for itself.
+	// A step may depend only on earlier ones, which rules out cycles.
 	for _, a := range s.After {
 		if a < 0 || a >= i {
 			add("runs after step %d, which is not an earlier one", a)
--- a/internal/job/specifier/specifier.go
+++ b/internal/job/specifier/specifier.go
@@ -1,6 +1,6 @@
-// Package specifier holds what a job is: steps of equal tasks that depend on each
-// other. A job as callers submit it, as the store keeps it and as decisions read
-// it is one type.
+// Package specifier defines jobs: steps of identical tasks with dependencies
+// between the steps. The same type is used for submissions, in the store and by
+// the scheduling decisions.
 package specifier
 
 import (
@@ -12,60 +12,60 @@
 
 // Limits of a submission.
 const (
-	MaxPayloadBytes = 4000   // of Job.Payload, as the callers' contract says
-	MaxSteps        = 64     // far above the jobs seen (5), so that a record stays small
-	MaxTasks        = 20_000 // of one occurrence, and of all that are open; a record of progress takes a bit each
+	MaxPayloadBytes = 4000   // of Job.Payload, as documented for callers
+	MaxSteps        = 64     // keeps records small; jobs in use have at most 5
+	MaxTasks        = 20_000 // of one occurrence, and of all open ones together; a progress record takes one bit per task
 	MaxOccurrences  = 1_000_000
-	MaxOpen         = 1000 // occurrences at a time; later ones that are due wait for an end
+	MaxOpen         = 1000 // open occurrences of a job; further due ones wait until one has finished
 )
 
-// Resources is an amount of a VM.
+// Resources is an amount of a VM's processors, memory and GPUs.
 type Resources struct {
 	CPUMillis int64 `json:"cpu-millis"` // thousandths of a core
 	MemoryMB  int64 `json:"memory-mb"`
 	GPUs      int64 `json:"gpus,omitempty"`
 }
 
-// Add returns r and o together.
+// Add returns the sum of r and o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.CPUMillis + o.CPUMillis, r.MemoryMB + o.MemoryMB, r.GPUs + o.GPUs}
 }
 
-// Sub returns r without o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUMillis - o.CPUMillis, r.MemoryMB - o.MemoryMB, r.GPUs - o.GPUs}
 }
 
-// Fits tells whether o fits into r.
+// Fits reports whether o fits into r.
 func (r Resources) Fits(o Resources) bool {
 	return o.CPUMillis <= r.CPUMillis && o.MemoryMB <= r.MemoryMB && o.GPUs <= r.GPUs
 }
 
-// Step is a number of equal tasks.
+// Step is a group of identical tasks.
 type Step struct {
 	Count          int       `json:"count"`
 	Needs          Resources `json:"needs"` // of each task
 	EstimateMillis int64     `json:"estimate-ms"`
-	After          []int     `json:"after,omitempty"`       // steps, from 0, all of whose tasks must be done before
-	Checkpoints    bool      `json:"checkpoints,omitempty"` // tasks resume from where they were
-	Gang           bool      `json:"gang,omitempty"`        // the tasks work only all together
-	SameRack       bool      `json:"same-rack,omitempty"`   // the tasks are slow on more than one rack
-	Label          string    `json:"label,omitempty"`       // that a VM must have
-	DataRack       string    `json:"data-rack,omitempty"`   // where the data lies; slow elsewhere
-	MaxPerVM       int       `json:"max-per-vm,omitempty"`  // tasks of one occurrence on a VM; 0: any number
-	Copies         bool      `json:"copies,omitempty"`      // a task may run several times at once, the first end counts
-	Lasting        bool      `json:"lasting,omitempty"`     // runs until the job is cancelled
-	MaxAway        int       `json:"max-away,omitempty"`    // lasting tasks that orders may take away at once; 0: no bound was asked for
-	Image          string    `json:"image,omitempty"`       // tasks of one image behave alike
-	TailMillis     int64     `json:"tail-target,omitempty"` // ms, of the response times that a lasting task serves
-	Fills          bool      `json:"fills,omitempty"`       // uses processor time that others leave; none is set aside for it
+	After          []int     `json:"after,omitempty"`       // steps, counted from 0, that must be finished before this one starts
+	Checkpoints    bool      `json:"checkpoints,omitempty"` // tasks resume from their last checkpoint
+	Gang           bool      `json:"gang,omitempty"`        // the tasks make progress only while all of them run
+	SameRack       bool      `json:"same-rack,omitempty"`   // the tasks are slow when spread over several racks
+	Label          string    `json:"label,omitempty"`       // required of the VM
+	DataRack       string    `json:"data-rack,omitempty"`   // rack that holds the input data; tasks are slow elsewhere
+	MaxPerVM       int       `json:"max-per-vm,omitempty"`  // tasks of one occurrence on a VM; 0: no limit
+	Copies         bool      `json:"copies,omitempty"`      // several runs of a task are allowed at once; the first to end counts
+	Lasting        bool      `json:"lasting,omitempty"`     // long-running: runs until the job is cancelled
+	MaxAway        int       `json:"max-away,omitempty"`    // long-running tasks that orders may make unavailable at once; 0: no limit requested
+	Image          string    `json:"image,omitempty"`       // tasks of the same image behave alike
+	TailMillis     int64     `json:"tail-target,omitempty"` // target for the tail latency of a long-running task, in ms
+	Fills          bool      `json:"fills,omitempty"`       // best-effort: uses processor time that other tasks leave idle; none is reserved
 }
 
 // Estimate is the declared duration of a task.
 func (s Step) Estimate() time.Duration { return time.Duration(s.EstimateMillis) * time.Millisecond }
 
-// Committed is what a task takes of a VM's capacity: one that fills takes no
-// processors of its own.
+// Committed returns the part of a VM's capacity that is reserved for a task. No
+// processors are reserved for a best-effort task.
 func (s Step) Committed() Resources {
 	if s.Fills {
 		return Resources{MemoryMB: s.Needs.MemoryMB, GPUs: s.Needs.GPUs}
@@ -73,7 +73,7 @@
 	return s.Needs
 }
 
-// CoreSeconds is the work that each task of the step declares.
+// CoreSeconds is the declared processor time of each task of the step.
 func (s Step) CoreSeconds() float64 {
 	return float64(s.Needs.CPUMillis) / 1000 * s.Estimate().Seconds()
 }
@@ -81,26 +81,26 @@
 // Job is a submission.
 type Job struct {
 	ID             string `json:"id"`
-	Queue          string `json:"queue"`   // name of the queue that took it
-	Payload        string `json:"payload"` // handed to each task unread
+	Queue          string `json:"queue"`   // name of the queue that accepted it
+	Payload        string `json:"payload"` // passed to each task unchanged
 	Steps          []Step `json:"steps"`
-	Occurrences    int    `json:"occurrences,omitempty"` // 0: runs once, at once
+	Occurrences    int    `json:"occurrences,omitempty"` // 0: runs once, immediately
 	FirstMillis    int64  `json:"first-ms,omitempty"`    // Unix ms when occurrence 0 is due
 	IntervalMillis int64  `json:"interval-ms,omitempty"` // between occurrences
-	AcceptedMillis int64  `json:"accepted-ms"`           // Unix ms at the entry that took it
-	// Ended is the final state of a job that has ended, whose payload and steps are
-	// dropped; empty for one that has not.
+	AcceptedMillis int64  `json:"accepted-ms"`           // Unix ms, by the clock of the entry that accepted it
+	// Ended is the final state of a job that has ended; its payload and steps are
+	// dropped then. It is empty while the job is open.
 	Ended       string `json:"ended,omitempty"`
 	EndedMillis int64  `json:"ended-ms,omitempty"` // Unix ms
 }
 
-// Remains is what is kept of a job once it has ended, so that a repeated submission
-// finds it.
-func (j *Job) Remains(state string, at time.Time) Job {
+// Tombstone returns the part of an ended job that is kept, so that a repeated
+// submission still finds it.
+func (j *Job) Tombstone(state string, at time.Time) Job {
 	return Job{ID: j.ID, Queue: j.Queue, AcceptedMillis: j.AcceptedMillis, Ended: state, EndedMillis: at.UnixMilli()}
 }
 
-// Times is how often the steps run.
+// Times returns how many times the steps run.
 func (j *Job) Times() int { return max(j.Occurrences, 1) }
 
 // Due returns when an occurrence may start.
@@ -111,7 +111,8 @@
 	return time.UnixMilli(j.FirstMillis + int64(occurrence)*j.IntervalMillis)
 }
 
-// Lasts tells whether the job ends only by being cancelled.
+// Lasts reports whether the job has long-running tasks, so that it ends only when it is
+// cancelled.
 func (j *Job) Lasts() bool {
 	for _, s := range j.Steps {
 		if s.Lasting {
@@ -121,7 +122,7 @@
 	return false
 }
 
-// TaskID names a task. Its text form is JOB.OCCURRENCE.STEP.INDEX.
+// TaskID identifies a task. Its text form is JOB.OCCURRENCE.STEP.INDEX.
 type TaskID struct {
 	Job                     string
 	Occurrence, Step, Index int
@@ -131,7 +132,7 @@
 	return t.Job + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// Less orders names of tasks.
+// Less reports whether t sorts before o.
 func (t TaskID) Less(o TaskID) bool {
 	switch {
 	case t.Job != o.Job:
@@ -144,7 +145,7 @@
 	return t.Index < o.Index
 }
 
-// ParseTaskID reads the text form of a TaskID.
+// ParseTaskID parses the text form of a TaskID.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 || parts[0] == "" {
@@ -154,7 +155,7 @@
 	for i := range numbers {
 		n, err := strconv.Atoi(parts[i+1])
 		if err != nil || n < 0 {
-			return TaskID{}, fmt.Errorf("task id %q: %q is not a number from 0", text, parts[i+1])
+			return TaskID{}, fmt.Errorf("task id %q: %q is not a non-negative integer", text, parts[i+1])
 		}
 		numbers[i] = n
 	}
--- a/internal/job/specifier/specifier_test.go
+++ b/internal/job/specifier/specifier_test.go
@@ -11,24 +11,24 @@
 
 const id = "00000000000004d2"
 
-func TestCheckTellsEveryFault(t *testing.T) {
-	fine := Step{Count: 1, Needs: Resources{CPUMillis: 100, MemoryMB: 10}, EstimateMillis: 5}
+func TestCheckReportsEveryError(t *testing.T) {
+	valid := Step{Count: 1, Needs: Resources{CPUMillis: 100, MemoryMB: 10}, EstimateMillis: 5}
 	tests := []struct {
 		name string
 		job  Job
-		want []string // parts of the message; none: the job is fine
+		want []string // parts of the message; none: the job is valid
 	}{
-		{"fine", Job{ID: id, Steps: []Step{fine, {Count: 2, After: []int{0}}}}, nil},
-		{"id", Job{ID: "lot-1", Steps: []Step{fine}}, []string{`id "lot-1": want 16 hexadecimal digits`}},
-		{"id not hexadecimal", Job{ID: "000000000000004g", Steps: []Step{fine}}, []string{"want 16 hexadecimal digits"}},
+		{"valid", Job{ID: id, Steps: []Step{valid, {Count: 2, After: []int{0}}}}, nil},
+		{"id", Job{ID: "lot-1", Steps: []Step{valid}}, []string{`id "lot-1": want 16 hexadecimal digits`}},
+		{"id not hexadecimal", Job{ID: "000000000000004g", Steps: []Step{valid}}, []string{"want 16 hexadecimal digits"}},
 		{"no steps", Job{ID: id}, []string{"steps: 0, want 1 to 64"}},
-		{"payload", Job{ID: id, Payload: strings.Repeat("x", MaxPayloadBytes+1), Steps: []Step{fine}}, []string{"payload: 4001 bytes"}},
+		{"payload", Job{ID: id, Payload: strings.Repeat("x", MaxPayloadBytes+1), Steps: []Step{valid}}, []string{"payload: 4001 bytes"}},
 		{"count", Job{ID: id, Steps: []Step{{Count: 0}}}, []string{"step 0: count 0"}},
-		{"waits for itself", Job{ID: id, Steps: []Step{fine, {Count: 1, After: []int{1}}}}, []string{"step 1: runs after step 1, which is not an earlier one"}},
-		{"waits for a later step", Job{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, fine}}, []string{"step 0: runs after step 1"}},
-		{"negative size", Job{ID: id, Steps: []Step{{Count: 1, Needs: Resources{CPUMillis: -1}}}}, []string{"must not be negative"}},
-		{"too many tasks", Job{ID: id, Steps: []Step{{Count: MaxTasks}, {Count: 1}}}, []string{"20001 tasks together"}},
-		{"several", Job{ID: "x", Occurrences: -1, Steps: []Step{{Count: -1, MaxPerVM: -1}}}, []string{"id", "occurrences", "count -1", "bounds must not"}},
+		{"depends on itself", Job{ID: id, Steps: []Step{valid, {Count: 1, After: []int{1}}}}, []string{"step 1: runs after step 1, which is not an earlier one"}},
+		{"depends on a later step", Job{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, valid}}, []string{"step 0: runs after step 1"}},
+		{"negative size", Job{ID: id, Steps: []Step{{Count: 1, Needs: Resources{CPUMillis: -1}}}}, []string{"must not be negative", "CPUMillis:-1"}},
+		{"too many tasks", Job{ID: id, Steps: []Step{{Count: MaxTasks}, {Count: 1}}}, []string{"20001 tasks in total"}},
+		{"several errors", Job{ID: "x", Occurrences: -1, Steps: []Step{{Count: -1, MaxPerVM: -1}}}, []string{"id", "occurrences", "count -1", "bounds must not"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestTaskIDReadsWhatItWrites(t *testing.T) {
+func TestTaskIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 1<<30)
 		want := TaskID{rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job"), n.Draw(t, "occurrence"), n.Draw(t, "step"), n.Draw(t, "index")}
@@ -66,12 +66,12 @@
 			return
 		}
 		if again, err := ParseTaskID(got.String()); err != nil || again != got {
-			t.Errorf("%q is read as %v, which is read as %v, %v", text, got, again, err)
+			t.Errorf("%q is parsed as %v, whose text form is parsed as %v, %v", text, got, again, err)
 		}
 	})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchUsesLongestPrefixOfHost(t *testing.T) {
 	p := Policy{Queues: []Queue{
 		{Name: "all", Host: "a", Prefix: "/"}, {Name: "labels", Host: "a", Prefix: "/labels/"}, {Name: "other", Host: "b", Prefix: "/labels/x/"},
 	}}
@@ -98,8 +98,8 @@
 	if got := once.Due(0); !got.Equal(time.UnixMilli(5000)) || once.Times() != 1 {
 		t.Errorf("a job without occurrences is due at %v, %d times", got, once.Times())
 	}
-	thrice := Job{AcceptedMillis: 5000, Occurrences: 3, FirstMillis: 9000, IntervalMillis: 200}
-	if got := thrice.Due(2); !got.Equal(time.UnixMilli(9400)) || thrice.Times() != 3 {
-		t.Errorf("the third occurrence is due at %v of %d", got, thrice.Times())
+	scheduled := Job{AcceptedMillis: 5000, Occurrences: 3, FirstMillis: 9000, IntervalMillis: 200}
+	if got := scheduled.Due(2); !got.Equal(time.UnixMilli(9400)) || scheduled.Times() != 3 {
+		t.Errorf("the third occurrence is due at %v of %d", got, scheduled.Times())
 	}
 }
