--- a/internal/job/accountant/accountant_test.go
+++ b/internal/job/accountant/accountant_test.go
@@ -10,7 +10,7 @@
 	"bamboospread/internal/job/specifier"
 )
 
-func TestStepsRunInOrderAndTheJobEnds(t *testing.T) {
+func TestStepsRunInOrderAndJobEnds(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore}, specifier.Step{Count: 1, Needs: oneCore, After: []int{0}})
 	vm := attach(a, "vm")
@@ -32,35 +32,35 @@
 	}
 }
 
-// The caller sees a job called done whose tasks ran again. The owner told the end
-// before the store had it, died, and the next owner knew nothing of it. A final
-// state is therefore told, and an end acknowledged, only once it is written.
-func TestFinalStateIsToldOnceStored(t *testing.T) {
+// Guards against a job that callers see as done and whose tasks then run again: the owner
+// reported the end before it was stored and then crashed, so the next owner did not know
+// it. A final state is reported, and an end acknowledged, only once it is stored.
+func TestFinalStateReportedOnceStored(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 	vm := attach(a, "vm")
 	a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
 	a.Apply(vm, Report{Life: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndDone}}}, at(10))
 	if j.Told() != JobRunning || vm.EndStored != 0 {
-		t.Fatalf("told %s, end %d acknowledged before the write", j.Told(), vm.EndStored)
+		t.Fatalf("state %s reported, end %d acknowledged before the write", j.Told(), vm.EndStored)
 	}
 	f := a.BeginFlush()
-	a.EndFlush(f, nil, errors.New("store away"))
+	a.EndFlush(f, nil, errors.New("store unreachable"))
 	if j.Told() != JobRunning || vm.EndStored != 0 {
-		t.Fatalf("told %s, end %d acknowledged after a failed write", j.Told(), vm.EndStored)
+		t.Fatalf("state %s reported, end %d acknowledged after a failed write", j.Told(), vm.EndStored)
 	}
 	f = a.BeginFlush()
 	if len(f.Jobs) != 1 {
-		t.Fatalf("%d jobs are written again", len(f.Jobs))
+		t.Fatalf("%d jobs are written again, want 1", len(f.Jobs))
 	}
 	a.EndFlush(f, map[string]JobState{j.Spec.ID: j.State}, nil)
 	if j.Told() != JobDone || vm.EndStored != 1 {
-		t.Errorf("told %s, end %d acknowledged", j.Told(), vm.EndStored)
+		t.Errorf("state %s reported, end %d acknowledged", j.Told(), vm.EndStored)
 	}
 }
 
-// An end that comes while a write is on its way must wait for the next write.
-func TestEndDuringAWriteIsNotAcknowledgedByIt(t *testing.T) {
+// An end that is reported while a write is in flight must wait for the next write.
+func TestEndDuringWriteWaitsForNextWrite(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore})
 	vm := attach(a, "vm")
@@ -76,7 +76,7 @@
 	end(2, 1)
 	a.EndFlush(f, map[string]JobState{j.Spec.ID: state}, nil)
 	if vm.EndStored != 1 || j.Told() != JobRunning {
-		t.Errorf("end %d acknowledged, job told as %s", vm.EndStored, j.Told())
+		t.Errorf("end %d acknowledged, job reported as %s", vm.EndStored, j.Told())
 	}
 	if f := a.BeginFlush(); len(f.Jobs) != 1 {
 		t.Errorf("%d jobs in the next write", len(f.Jobs))
@@ -88,17 +88,17 @@
 	tests := []struct {
 		name   string
 		report Report
-		state  string // of the run that was ordered; empty: gone
+		state  string // of the run that was ordered; empty: lost
 		lost   int
 		adopt  int
 	}{
-		{"order not seen yet", Report{Life: "1", Ready: true}, "ordered", 0, 0},
-		{"order seen, start not answered", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}, "ordered", 0, 0},
+		{"order not received yet", Report{Life: "1", Ready: true}, "ordered", 0, 0},
+		{"order received, start not answered", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}, "ordered", 0, 0},
 		{"confirmed", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1))}}, "running", 0, 0},
 		{"refused", Report{Life: "1", Ready: true, OrdersSeen: 1}, "", 1, 0},
-		{"another life", Report{Life: "2", Ready: true, OrdersSeen: 1}, "", 1, 0},
+		{"another incarnation", Report{Life: "2", Ready: true, OrdersSeen: 1}, "", 1, 0},
 		{"a run of an earlier owner", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(1, 0, 1, 7))}}, "running", 0, 1},
-		{"a run of no job", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(9, 0, 0, 1))}}, "running", 0, 1},
+		{"a run of an unknown job", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(9, 0, 0, 1))}}, "running", 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -114,13 +114,13 @@
 			if diff := cmp.Diff([]any{tt.state, tt.lost, tt.adopt}, []any{state, len(c.Lost), len(c.Adopted)}); diff != "" {
 				t.Error(diff)
 			}
-			checkBooks(t, a)
+			checkCommitted(t, a)
 		})
 	}
 }
 
-// A run of a job that ended, of a task that is done, or a second run of one task
-// is stopped; one that a copy may accompany is not.
+// A run is stopped if its job has ended, its task is done, or its task has another run
+// and allows no copies.
 func TestUnwantedRuns(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -131,7 +131,7 @@
 		{"two runs of one task", false, func(*Accountant) {}, 1},
 		{"a copy", true, func(*Accountant) {}, 0},
 		{"cancelled", true, func(a *Accountant) { a.Cancel(jobID(1), at(5)) }, 2},
-		{"done by the other run", true, func(a *Accountant) {
+		{"completed by the other run", true, func(a *Accountant) {
 			a.Apply(a.VMs["one"], Report{Life: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndDone}}}, at(5))
 		}, 1},
 	}
@@ -154,23 +154,23 @@
 func TestFailures(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	lasting := addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
+	longRunning := addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
 	vm := attach(a, "vm")
 	for run := range int64(3) {
 		a.EndRun(vm, key(1, 0, 0, run+1), EndFailed, "", at(10))
 		a.EndRun(vm, key(2, 0, 0, run+1), EndFailed, "", at(10))
 	}
 	if j.State != JobFailed {
-		t.Errorf("after its allowed failures the job is %s", j.State)
+		t.Errorf("the job is %s after the allowed failures", j.State)
 	}
-	if lasting.State.Final() {
-		t.Errorf("a lasting job ended %s", lasting.State)
+	if longRunning.State.Final() {
+		t.Errorf("a long-running job ended as %s", longRunning.State)
 	}
 }
 
-// Runs that end otherwise than failed cost no attempt: a lost VM or a lapsed lease
-// is not the task's fault.
-func TestOnlyFailedEndsCount(t *testing.T) {
+// Only failed runs count against the limit of a task: a lost VM or an expired lease is
+// not the task's fault.
+func TestOnlyFailedRunsCountAsFailures(t *testing.T) {
 	a := newState(t, 1)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Checkpoints: true})
 	vm := attach(a, "vm")
@@ -213,20 +213,20 @@
 	}
 }
 
-func TestRestoreRefusesWhatDoesNotFit(t *testing.T) {
+func TestRestoreRejectsInvalidRecords(t *testing.T) {
 	for _, value := range []string{"", "{", `{"state":"running","open":[{"number":0,"steps":[]}]}`, `{"state":"running","open":[{"number":0,"steps":[{"done":"xy"}]}]}`} {
 		a := newState(t, 3)
 		addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 		if err := a.Restore(jobID(1), []byte(value), begin); err == nil {
-			t.Errorf("%q was taken", value)
+			t.Errorf("%q was accepted", value)
 		}
 	}
 }
 
-// The worker refuses a run whose number is not above those it has seen. An owner
-// that takes over knows no numbers of runs that died with their VM, so its own
-// begin above all that earlier owners can have given out.
-func TestRunNumbersRiseOverOwners(t *testing.T) {
+// A worker refuses a run whose number is not higher than those it has seen. A new owner
+// does not know the numbers of runs that were lost with their VM, so its own numbers
+// start above all that earlier owners can have assigned.
+func TestRunNumbersIncreaseAcrossOwners(t *testing.T) {
 	a := New(Config{RunFloor: 2000, Policy: &specifier.Policy{}})
 	spec := &specifier.Job{ID: jobID(1), Steps: []specifier.Step{{Count: 2, Needs: oneCore, Gang: true}}}
 	a.AddJob(spec, at(5000), begin)
@@ -250,20 +250,20 @@
 	for i, millis := range []int{50, 100, 250, 300} {
 		a.OpenDue(at(millis))
 		if want := []int{0, 1, 2, 3}[i]; j.Next != want {
-			t.Errorf("at %d ms %d occurrences were opened, want %d", millis, j.Next, want)
+			t.Errorf("%d occurrences were opened after %d ms, want %d", j.Next, millis, want)
 		}
 	}
 	for k := range 3 {
 		id := specifier.TaskID{Job: spec.ID, Occurrence: k}
 		a.EndRun(vm, RunKey{id, 1}, EndDone, "", at(400))
 		if done := j.State == JobDone; done != (k == 2) {
-			t.Errorf("after %d occurrences the job is %s", k+1, j.State)
+			t.Errorf("the job is %s after %d occurrences", j.State, k+1)
 		}
 	}
 }
 
-// checkBooks compares the counts of each VM with its runs.
-func checkBooks(t *testing.T, a *Accountant) {
+// checkCommitted compares the committed resources of each VM with those of its runs.
+func checkCommitted(t *testing.T, a *Accountant) {
 	t.Helper()
 	for _, vm := range a.VMs {
 		var committed specifier.Resources
@@ -271,15 +271,15 @@
 			committed = committed.Add(r.Step().Spec.Committed())
 		}
 		if vm.Committed != committed {
-			t.Errorf("%s has %+v committed, its runs take %+v", vm.Name, vm.Committed, committed)
+			t.Errorf("%s has %+v committed, its runs use %+v", vm.Name, vm.Committed, committed)
 		}
 	}
 }
 
-// A job is shown as failed although no task failed as often as allowed. An end is
-// stored, the owner dies before it acknowledges it, and the worker lists it to the
-// next owner, which counts it a second time.
-func TestFailureListedAgainCountsOnce(t *testing.T) {
+// Guards against a job that is shown as failed although no task reached its limit of
+// failures: an end is stored, the owner crashes before it acknowledges it, and the worker
+// reports it to the next owner, which counts it a second time.
+func TestFailureReportedTwiceCountsOnce(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 	a.EndRun(attach(a, "vm"), key(1, 0, 0, 1), EndFailed, "", at(10))
@@ -288,39 +288,39 @@
 		t.Fatal(err)
 	}
 	next := newState(t, 2)
-	inherited := addJob(t, next, 1, specifier.Step{Count: 1, Needs: oneCore})
+	restored := addJob(t, next, 1, specifier.Step{Count: 1, Needs: oneCore})
 	if err := next.Restore(jobID(1), value, at(20)); err != nil {
 		t.Fatal(err)
 	}
 	next.Apply(attach(next, "vm"), Report{Life: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndFailed}}}, at(30))
-	if inherited.State.Final() {
-		t.Errorf("after one failure of two the job is %s", inherited.State)
+	if restored.State.Final() {
+		t.Errorf("the job is %s after one failure of two", restored.State)
 	}
 }
 
-// Jobs of before a change of owner wait until each VM has reported or its leases
-// have run out; those that came after wait only for the earlier owner's lease.
-func TestSettle(t *testing.T) {
+// Jobs from before a change of owner wait until each VM has reported or its leases have
+// expired. Jobs submitted later wait only for the lease of the earlier owner.
+func TestReconcile(t *testing.T) {
 	a := newState(t, 2)
-	for i, settles := range []time.Time{at(7000), at(2000), {}} {
-		a.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, settles, begin)
+	for i, reconciled := range []time.Time{at(7000), at(2000), {}} {
+		a.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconciled, begin)
 	}
 	for _, tt := range []struct{ millis, startable, waiting int }{{1999, 1, 2}, {2000, 2, 1}, {7000, 3, 0}} {
 		waiting := a.Settle(false, at(tt.millis))
 		if got := len(a.WaitingSteps(at(tt.millis))); got != tt.startable || waiting != tt.waiting {
-			t.Errorf("after %d ms %d jobs may start and %d wait", tt.millis, got, waiting)
+			t.Errorf("%d jobs may start and %d wait after %d ms", got, waiting, tt.millis)
 		}
 	}
 	b := newState(t, 2)
 	b.AddJob(&specifier.Job{ID: jobID(1), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, at(7000), begin)
 	if b.Settle(true, at(1)); len(b.WaitingSteps(at(1))) != 1 {
-		t.Error("the job waits though every VM has reported")
+		t.Error("the job waits although every VM has reported")
 	}
 }
 
-// An owner that has worked for an hour decides ever more slowly, or ends: the list of open
-// jobs still has those that have ended, or were forgotten.
-func TestEndedJobsAreNotAmongTheOpenOnes(t *testing.T) {
+// Guards against an owner whose decisions get slower with its running time, or that crashes:
+// the list of open jobs still contains jobs that have ended or were removed.
+func TestEndedJobsLeaveOpenList(t *testing.T) {
 	a := newState(t, 2)
 	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 	addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore})
@@ -329,13 +329,13 @@
 	}
 	a.Cancel(jobID(1), at(10))
 	if got := a.openIDs(); len(got) != 1 || got[0] != jobID(2) {
-		t.Errorf("open are %v", got)
+		t.Errorf("open jobs are %v", got)
 	}
 	if err := a.Restore(jobID(2), []byte(`{"state":"cancelled"}`), at(20)); err != nil {
 		t.Fatal(err)
 	}
 	if got := a.openIDs(); len(got) != 0 {
-		t.Errorf("open are %v after the record of an end", got)
+		t.Errorf("open jobs are %v after a record of an ended job was restored", got)
 	}
 	a.Forget(at(60_000))
 	if got := len(a.WaitingSteps(at(60_000))); got != 0 {
--- a/internal/job/accountant/fuzz_test.go
+++ b/internal/job/accountant/fuzz_test.go
@@ -6,9 +6,9 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Guards against an owner that ends, and each one after it, at a record of a job or of its
-// progress that is damaged or that another writer wrote.
-func FuzzRecordsOfAJob(f *testing.F) {
+// Guards against an owner, and each one after it, that crashes at a record of a job or of its
+// progress that is damaged or comes from another writer.
+func FuzzJobRecords(f *testing.F) {
 	id := jobID(1)
 	f.Add(`{"id":"`+id+`","queue":"q","steps":[{"count":2,"needs":{"cpu-millis":1000}},{"count":1,"after":[0]}]}`, `{"state":"running","next":1,"open":[{"number":0,"steps":[{"done":"01","failed":{"1":[3]}},{}]}]}`)
 	f.Add(`{"id":"`+id+`","steps":[{"count":1,"after":[7]}]}`, `{"state":"running","finished":-3,"next":-1,"open":[{"number":0,"steps":[]}]}`)
@@ -22,7 +22,7 @@
 		a := newState(t, 3)
 		a.AddJob(spec, at(0), at(0))
 		if a.Jobs[spec.ID] == nil {
-			t.Fatal("a job that was decoded is not known")
+			t.Fatal("the decoded job is missing")
 		}
 		_ = a.Restore(spec.ID, []byte(progress), at(10))
 		a.Settle(true, at(20))
--- a/internal/job/accountant/health.go
+++ b/internal/job/accountant/health.go
@@ -6,31 +6,31 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Limits of the judgement on a VM's worker.
+// Limits of the health check of a VM's worker.
 const (
-	// failuresToQuarantine is how many different tasks must fail on a VM, with
-	// none done in between, before the worker is taken to be at fault. A task that
-	// fails everywhere by its own fault counts once; of sound workers, on which one
-	// run in twenty fails, three in a row are one case in 8,000.
+	// failuresToQuarantine is how many different tasks must fail on a VM, with no
+	// success in between, before the worker counts as faulty. A task that fails
+	// everywhere through its own fault counts once. On a healthy worker, where one
+	// run in twenty fails, three failures in a row have a chance of 1 in 8,000.
 	failuresToQuarantine = 3
-	quarantineFirst      = 4 * time.Second // doubled with each one in a row
+	quarantineFirst      = 4 * time.Second // doubled with each consecutive quarantine
 	quarantineMax        = 16 * time.Second
 )
 
-// Quarantined tells whether nothing should start on the VM.
+// Quarantined reports whether nothing should start on the VM.
 func (vm *VM) Quarantined(now time.Time) bool { return now.Before(vm.Health.QuarantineTo) }
 
-// probeTime is how long a run must be at work on a VM that was quarantined before
-// the VM counts as sound again. On workers at fault tasks fail or stall sooner.
-const probeTime = 1500 * time.Millisecond
+// probeDuration is how long a run must make progress on a VM that was quarantined
+// before the VM counts as healthy again. On faulty workers tasks fail or stall sooner.
+const probeDuration = 1500 * time.Millisecond
 
-// OnProbation tells whether the VM was quarantined and has not shown yet that it is
-// sound.
+// OnProbation reports whether the VM was quarantined and has not yet been found healthy
+// again.
 func (vm *VM) OnProbation() bool { return vm.Health.Times > 0 }
 
-// Probes counts the runs that were ordered since the quarantine. Those from before
-// tell nothing: lasting tasks stay for good, and a VM that waited for them to end
-// would take nothing any more.
+// Probes counts the runs that were ordered since the quarantine. Earlier runs do not
+// count: long-running tasks do not end by themselves, so a VM that waited for them
+// would never accept a task again.
 func (vm *VM) Probes() int {
 	n := 0
 	for _, r := range vm.Runs {
@@ -41,41 +41,44 @@
 	return n
 }
 
-// endProbation clears a VM on which a run ordered since the quarantine works.
+// endProbation clears the health record of a VM on which a run ordered since the
+// quarantine makes progress.
 func (vm *VM) endProbation(now time.Time) {
 	if !vm.OnProbation() || vm.Quarantined(now) {
 		return
 	}
 	for _, r := range vm.Runs {
-		atWork := r.Step().Spec.Lasting && r.Progress >= fullPace || vm.SeenAt.Sub(r.MovedAt) < stallBase
-		if r.State == Running && !r.OrderedAt.Before(vm.Health.QuarantineTo) && vm.SeenAt.Sub(r.StartedAt) >= probeTime && atWork {
-			vm.noteGood()
+		progressing := r.Step().Spec.Lasting && r.Progress >= fullPace || vm.SeenAt.Sub(r.ProgressedAt) < stallGrace
+		if r.State == Running && !r.OrderedAt.Before(vm.Health.QuarantineTo) && vm.SeenAt.Sub(r.StartedAt) >= probeDuration && progressing {
+			vm.clearHealth()
 			return
 		}
 	}
 }
 
-func (vm *VM) noteGood() { vm.Health = Health{} }
+func (vm *VM) clearHealth() { vm.Health = Health{} }
 
-// Limits of the judgement on tasks that stand still.
+// Limits of the detection of stalled tasks.
 const (
-	// stallBase is how long a run's progress may stay the same, beside the time that
-	// so much of its work takes: reports are up to half a second old, and a start
-	// from a checkpoint takes a quarter.
-	stallBase  = 800 * time.Millisecond
-	stallShare = 0.05 // of the declared work, at the speed that the run has
-	stallSlow  = 0.1  // least share of its processors that a run is taken to get
-	// stallsToQuarantine is how many different tasks must stand still on a VM, and
-	// at least half of those that should move, before its worker is at fault.
+	// stallGrace is how long a run's progress may stay unchanged, in addition to the
+	// time that stallWorkShare of its work takes: reports are up to half a second
+	// old, and a start from a checkpoint takes a quarter of a second.
+	stallGrace     = 800 * time.Millisecond
+	stallWorkShare = 0.05 // of the declared work, at the run's current speed
+	minCPUShare    = 0.1  // lower bound for the share of its processors that a run is assumed to get
+	// stallsToQuarantine is how many different tasks must stall on a VM before its
+	// worker counts as faulty. They must also be at least half of the tasks that
+	// should make progress.
 	stallsToQuarantine = 2
-	// stallAlone is after how long a single one is stopped.
-	stallAlone = 3 * time.Second
+	// singleStallLimit is how long a run may go without progress before it is stopped
+	// although its worker is not quarantined.
+	singleStallLimit = 3 * time.Second
 )
 
 // Stalled returns the runs that should be stopped because they make no progress. A
-// worker on which most tasks stand still is quarantined: it answers, reports
-// processors in use, and would be given ever more tasks, since it looks idle.
-// Replaying such a worker, 48 runs stood still for up to 4 s without this.
+// worker on which most tasks stall is quarantined: it answers and reports processors
+// in use, but looks idle, so it would be given more and more tasks. Without this, 48
+// runs stalled for up to 4 s in a replay of such a worker.
 func (a *Accountant) Stalled(now time.Time) []*Run {
 	var all []*Run
 	for _, vm := range a.VMs {
@@ -83,14 +86,14 @@
 			continue
 		}
 		vm.endProbation(now)
-		stalled, moving := vm.stalled()
+		stalled, progressing := vm.stalled()
 		switch {
-		case len(stalled) >= stallsToQuarantine && len(stalled) >= moving:
-			vm.quarantine("tasks stand still", now)
+		case len(stalled) >= stallsToQuarantine && len(stalled) >= progressing:
+			vm.quarantine("tasks stalled", now)
 			all = append(all, stalled...)
 		default:
 			for _, r := range stalled {
-				if vm.SeenAt.Sub(r.MovedAt) > stallAlone {
+				if vm.SeenAt.Sub(r.ProgressedAt) > singleStallLimit {
 					all = append(all, r)
 				}
 			}
@@ -99,78 +102,79 @@
 	return all
 }
 
-func (vm *VM) stalled() (stalled []*Run, moving int) {
+// stalled returns the stalled runs of the VM and the number of those that make progress.
+func (vm *VM) stalled() (stalled []*Run, progressing int) {
 	for _, r := range vm.Runs {
 		s := r.Step().Spec
 		if s.Lasting || s.Gang || r.State != Running || r.Pace != fullPace || s.EstimateMillis <= 0 {
 			continue
 		}
-		if vm.SeenAt.Sub(r.MovedAt) > stallBase+time.Duration(stallShare*float64(s.Estimate())/r.share()) {
+		if vm.SeenAt.Sub(r.ProgressedAt) > stallGrace+time.Duration(stallWorkShare*float64(s.Estimate())/r.cpuShare()) {
 			stalled = append(stalled, r)
-		} else if vm.SeenAt.Sub(r.StartedAt) > stallBase {
-			moving++
+		} else if vm.SeenAt.Sub(r.StartedAt) > stallGrace {
+			progressing++
 		}
 	}
-	return stalled, moving
+	return stalled, progressing
 }
 
-// share is the part of its processors that a run gets: a task that fills gets what
-// others leave.
-func (r *Run) share() float64 {
+// cpuShare is the share of the requested processors that a run gets. A best-effort task
+// gets what other tasks leave idle.
+func (r *Run) cpuShare() float64 {
 	if cpu := r.Step().Spec.Needs.CPUMillis; cpu > 0 && r.Step().Spec.Fills {
-		return max(min(float64(r.Measure)/float64(cpu), 1), stallSlow)
+		return max(min(float64(r.Measure)/float64(cpu), 1), minCPUShare)
 	}
 	return 1
 }
 
-// Limits of the measure of a VM's speed.
+// Limits of the measurement of a VM's speed.
 const (
-	speedRate    = 0.05 // of a sample in the mean: declared durations are off by half
-	speedSamples = 8    // before the mean tells anything
-	speedSlow    = 0.45 // below it a VM takes tasks only if no other can
+	speedSampleWeight = 0.05 // weight of a sample in the mean: declared durations are wrong by half
+	minSpeedSamples   = 8    // below this number the mean is not used
+	slowSpeed         = 0.45 // a VM below this speed gets tasks only if no other can run them
 )
 
-// Slow tells whether tasks move much slower on the VM than they declare.
-func (vm *VM) Slow() bool { return vm.Speed.Samples >= speedSamples && vm.Speed.Value < speedSlow }
+// Slow reports whether tasks make much slower progress on the VM than declared.
+func (vm *VM) Slow() bool { return vm.Speed.Samples >= minSpeedSamples && vm.Speed.Value < slowSpeed }
 
-// moved takes a new progress of a run, and from it the speed of its VM.
-func (r *Run) moved(progress int) {
+// updateProgress records the reported progress of a run and updates the speed of its VM.
+func (r *Run) updateProgress(progress int) {
 	if progress == r.Progress {
 		return
 	}
 	vm := r.VM
-	if took := vm.SeenAt.Sub(r.MovedAt); progress > r.Progress && took > 0 && r.Pace == fullPace && !r.Step().Spec.Lasting {
+	if elapsed := vm.SeenAt.Sub(r.ProgressedAt); progress > r.Progress && elapsed > 0 && r.Pace == fullPace && !r.Step().Spec.Lasting {
 		done := float64(progress-r.Progress) / fullPace * float64(r.Step().Spec.Estimate())
-		sample := min(done/float64(took)/r.share(), 2)
+		sample := min(done/float64(elapsed)/r.cpuShare(), 2)
 		if vm.Speed.Samples == 0 {
 			vm.Speed.Value = 1
 		}
 		vm.Speed.Samples++
-		vm.Speed.Value += speedRate * (sample - vm.Speed.Value)
+		vm.Speed.Value += speedSampleWeight * (sample - vm.Speed.Value)
 	}
-	r.Progress, r.MovedAt = progress, vm.SeenAt
+	r.Progress, r.ProgressedAt = progress, vm.SeenAt
 }
 
 func (vm *VM) quarantine(cause string, now time.Time) {
 	if vm.Quarantined(now) {
 		return
 	}
-	pause := min(quarantineFirst<<vm.Health.Times, quarantineMax)
+	duration := min(quarantineFirst<<vm.Health.Times, quarantineMax)
 	vm.Health.Times++
-	vm.Health.Cause, vm.Health.QuarantineTo = cause, now.Add(pause)
+	vm.Health.Cause, vm.Health.QuarantineTo = cause, now.Add(duration)
 }
 
-func (vm *VM) noteFailed(id specifier.TaskID, now time.Time) {
+func (vm *VM) recordFailure(id specifier.TaskID, now time.Time) {
 	if vm.Health.Failed == nil {
 		vm.Health.Failed = make(map[specifier.TaskID]time.Time)
 	}
 	vm.Health.Failed[id] = now
 	if vm.Quarantined(now) {
-		return // what was started before it
+		return // the run was started before the quarantine
 	}
 	// After a quarantine the first failure is enough for the next one.
 	if len(vm.Health.Failed) < failuresToQuarantine && vm.Health.Times == 0 {
 		return
 	}
-	vm.quarantine("tasks fail", now)
+	vm.quarantine("tasks failed", now)
 }
--- a/internal/job/accountant/helpers_test.go
+++ b/internal/job/accountant/helpers_test.go
@@ -14,7 +14,7 @@
 	eightCore = specifier.Resources{CPUMillis: 8000, MemoryMB: 8000}
 )
 
-// at returns a moment so many milliseconds after the beginning.
+// at returns the time the given number of milliseconds after begin.
 func at(millis int) time.Time { return begin.Add(time.Duration(millis) * time.Millisecond) }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
@@ -36,7 +36,7 @@
 	return a.Jobs[spec.ID]
 }
 
-// attach opens a session of a VM that runs nothing.
+// attach opens a session of a VM without runs.
 func attach(a *Accountant, name string) *VM {
 	vm, _ := a.Attach(Facts{Name: name, Zone: "z", Capacity: eightCore}, Report{Life: "1", Ready: true}, begin)
 	return vm
--- a/internal/job/accountant/job.go
+++ b/internal/job/accountant/job.go
@@ -8,13 +8,13 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// AddJob takes an accepted job in. A job that is known already is left alone, so
-// a repeated submission stays one job. It tells whether the job is new.
-func (a *Accountant) AddJob(spec *specifier.Job, settlesAt, now time.Time) bool {
+// AddJob adds an accepted job and reports whether it is new. A known job is left
+// unchanged, so a repeated submission does not create a second one.
+func (a *Accountant) AddJob(spec *specifier.Job, reconciledAt, now time.Time) bool {
 	if a.Jobs[spec.ID] != nil {
 		return false
 	}
-	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, SettlesAt: settlesAt}
+	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, SettlesAt: reconciledAt}
 	j.Queue, _ = a.policy.QueueByName(spec.Queue)
 	a.Jobs[spec.ID] = j
 	a.open = nil
@@ -27,7 +27,7 @@
 	return true
 }
 
-// OpenDue opens the occurrences that have become due.
+// OpenDue opens the occurrences that are due.
 func (a *Accountant) OpenDue(now time.Time) {
 	for _, j := range a.Jobs {
 		a.openDue(j, now)
@@ -38,14 +38,15 @@
 	if j.Unreadable {
 		return
 	}
-	for !j.State.Final() && j.Next < j.Spec.Times() && j.mayOpen() && (j.Spec.Occurrences == 0 || !j.Spec.Due(j.Next).After(now)) {
+	for !j.State.Final() && j.Next < j.Spec.Times() && j.canOpenNext() && (j.Spec.Occurrences == 0 || !j.Spec.Due(j.Next).After(now)) {
 		j.Occurrences = append(j.Occurrences, newOccurrence(j, j.Next, now))
 		j.Next++
 	}
 }
 
-// mayOpen bounds what a job takes of the owner's memory, however many occurrences are due.
-func (j *Job) mayOpen() bool {
+// canOpenNext reports whether the job may open another occurrence. The limit bounds the
+// owner's memory for the job, however many occurrences are due.
+func (j *Job) canOpenNext() bool {
 	open, tasks := len(j.Occurrences), 0
 	for i := range j.Spec.Steps {
 		tasks += j.Spec.Steps[i].Count
@@ -68,7 +69,7 @@
 	return o
 }
 
-// Find returns a task of an open occurrence, or nil.
+// Find returns a task of an open occurrence, or nil if there is none with the ID.
 func (a *Accountant) Find(id specifier.TaskID) *Task {
 	j := a.Jobs[id.Job]
 	if j == nil {
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// Cancel ends a job whose cancellation is stored. Runs of it are stopped by the
-// next call of Unwanted. It returns how many there are, and whether the job was open.
+// Cancel ends a job whose cancellation is stored. The next call of Unwanted returns its
+// runs. Cancel returns how many there are, and whether the job was open.
 func (a *Accountant) Cancel(id string, now time.Time) (runs int, open bool) {
 	j := a.Jobs[id]
 	if j == nil || j.State.Final() {
@@ -93,7 +94,7 @@
 	return j.runs(), true
 }
 
-// runs counts the live runs of a job's tasks.
+// runs returns the number of runs of the job's tasks that have not ended.
 func (j *Job) runs() int {
 	n := 0
 	for _, o := range j.Occurrences {
@@ -119,7 +120,7 @@
 	return ended
 }
 
-// taskDone marks a task as done and closes what ends with it.
+// taskDone marks a task as done. This may make later steps ready, and end the occurrence.
 func (a *Accountant) taskDone(t *Task, now time.Time) {
 	s := t.Step
 	if t.Done {
@@ -127,7 +128,7 @@
 	}
 	done := []*Task{t}
 	if s.Spec.Gang {
-		done = s.Tasks // one end stands for all tasks of the gang
+		done = s.Tasks // one success completes all tasks of the gang
 	}
 	for _, d := range done {
 		if !d.Done {
@@ -146,11 +147,11 @@
 		}
 	}
 	if s.Occurrence.Finished() {
-		a.close(s.Occurrence, now)
+		a.closeOccurrence(s.Occurrence, now)
 	}
 }
 
-func (a *Accountant) close(o *Occurrence, now time.Time) {
+func (a *Accountant) closeOccurrence(o *Occurrence, now time.Time) {
 	j := o.Job
 	for i, open := range j.Occurrences {
 		if open == o {
@@ -164,15 +165,16 @@
 	}
 }
 
-// taskFailed counts a run that ended failed, once: an end that was stored and not
-// yet acknowledged is listed to the next owner again, and counted twice it would
-// use up the task's attempts. A task that lasts is restarted however it ends.
+// taskFailed counts a failed run against the limit of its task, once per run: an end
+// that was stored but not yet acknowledged is reported to the next owner again, and
+// counting it twice would use up the task's attempts. A long-running task has no limit
+// and is restarted however it ends.
 func (a *Accountant) taskFailed(t *Task, number int64, now time.Time) {
 	if slices.Contains(t.Failed, number) {
 		return
 	}
 	j := t.Step.Occurrence.Job
-	t.NotBefore = now.Add(failurePause(len(t.Failed) + 1))
+	t.NotBefore = now.Add(failureBackoff(len(t.Failed) + 1))
 	if t.Step.Spec.Lasting {
 		return
 	}
@@ -186,53 +188,53 @@
 	}
 }
 
-// Pauses before a task runs again after failures. The first restart is at once,
-// since most failures are the worker's and the next VM is another; later ones
-// wait, so that a task that fails within milliseconds does not fill the orders.
+// Backoff before a failed task runs again. The first restart is immediate, since most
+// failures are caused by the worker and the task then runs on another VM. Later ones are
+// delayed, so that a task that fails within milliseconds does not flood the agents with orders.
 const (
-	failurePauseStep = 100 * time.Millisecond
-	failurePauseMax  = time.Second
+	failureBackoffStep = 100 * time.Millisecond
+	failureBackoffMax  = time.Second
 )
 
-func failurePause(failures int) time.Duration {
-	return min(time.Duration(max(failures-1, 0))*failurePauseStep, failurePauseMax)
+func failureBackoff(failures int) time.Duration {
+	return min(time.Duration(max(failures-1, 0))*failureBackoffStep, failureBackoffMax)
 }
 
-// WaitingSteps returns the steps that have tasks to start, in an order that is the same
-// in each run.
+// WaitingSteps returns the steps that have tasks to start, in a deterministic order.
 func (a *Accountant) WaitingSteps(now time.Time) []*Step {
-	return a.openSteps(func(s *Step) bool { return s.waits(now) })
+	return a.openSteps(func(s *Step) bool { return s.hasWaitingTask(now) })
 }
 
-// CopySteps returns the steps that are at work and of whose tasks copies may run, in
-// the same order.
+// CopySteps returns the open steps whose tasks may run in several copies, in the same
+// order.
 func (a *Accountant) CopySteps() []*Step {
 	return a.openSteps(func(s *Step) bool { return s.Spec.Copies && !s.Spec.Gang && !s.Spec.Lasting })
 }
 
-// OpenSteps returns all steps that are ready and not finished, in the same order.
+// OpenSteps returns all steps that are ready but not finished, in the same order.
 func (a *Accountant) OpenSteps() []*Step {
 	return a.openSteps(func(*Step) bool { return true })
 }
 
-// Away counts the tasks of a lasting step that are not at work.
+// Away returns the number of unavailable tasks of a step with long-running tasks.
 func (s *Step) Away() int {
-	away := 0
+	n := 0
 	for _, t := range s.Tasks {
 		if t.Away() {
-			away++
+			n++
 		}
 	}
-	return away
+	return n
 }
 
-// Away tells whether a lasting task is not at work.
+// Away reports whether a long-running task is unavailable: it has no run, its run is being
+// stopped, or its run has not reported progress 100 yet.
 func (t *Task) Away() bool {
 	r := t.Lead()
 	return r == nil || r.State != Running || r.Progress < fullPace
 }
 
-// openSteps returns the steps that match among those that are ready and not finished.
+// openSteps returns the matching steps among those that are ready but not finished.
 func (a *Accountant) openSteps(match func(*Step) bool) []*Step {
 	var found []*Step
 	for _, id := range a.openIDs() {
@@ -251,21 +253,21 @@
 	return found
 }
 
-// Left is the share of an occurrence's declared work that is in tasks that are not done.
+// Left returns the share of an occurrence's declared work whose tasks are not done.
 func (o *Occurrence) Left() float64 {
-	all, left := 0.0, 0.0
+	total, left := 0.0, 0.0
 	for _, s := range o.Steps {
-		each := s.Spec.CoreSeconds()
-		all += float64(len(s.Tasks)) * each
-		left += float64(len(s.Tasks)-s.Done) * each
+		perTask := s.Spec.CoreSeconds()
+		total += float64(len(s.Tasks)) * perTask
+		left += float64(len(s.Tasks)-s.Done) * perTask
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return 1
 	}
-	return left / all
+	return left / total
 }
 
-func (s *Step) waits(now time.Time) bool {
+func (s *Step) hasWaitingTask(now time.Time) bool {
 	for _, t := range s.Tasks {
 		if t.Waits(now) {
 			return true
@@ -274,7 +276,7 @@
 	return false
 }
 
-// RunsOn tells whether a run of the task is on the VM.
+// RunsOn reports whether the task has a run on the VM.
 func (t *Task) RunsOn(vm *VM) bool {
 	for _, r := range t.Runs {
 		if r.VM == vm {
@@ -284,14 +286,14 @@
 	return false
 }
 
-// Waits tells whether the task may start now as far as its own state goes.
+// Waits reports whether the task's own state allows a start now.
 func (t *Task) Waits(now time.Time) bool {
 	return !t.Done && len(t.Runs) == 0 && !t.NotBefore.After(now)
 }
 
-// openIDs returns the jobs that have not ended, in an order that is the same in each run.
-// They are kept from one change to the next: the ended ones, known for minutes, are many
-// times as many, and would make each decision dearer by the hour.
+// openIDs returns the IDs of the jobs that have not ended, in a deterministic order. The
+// list is cached until it changes: ended jobs are kept for minutes and far outnumber the
+// open ones, so a scan of all jobs would make each decision slower the longer the owner runs.
 func (a *Accountant) openIDs() []string {
 	if a.open != nil {
 		return a.open
@@ -306,7 +308,7 @@
 	return a.open
 }
 
-// jobIDs returns the jobs in an order that is the same in each run.
+// jobIDs returns the IDs of all jobs in a deterministic order.
 func (a *Accountant) jobIDs() []string {
 	ids := make([]string, 0, len(a.Jobs))
 	for id := range a.Jobs {
@@ -316,7 +318,7 @@
 	return ids
 }
 
-// Pending counts the jobs of a queue of which no task has started.
+// Pending returns the number of open jobs of a queue of which no task has started.
 func (a *Accountant) Pending(queue string) int {
 	n := 0
 	for _, j := range a.Jobs {
@@ -327,12 +329,13 @@
 	return n
 }
 
-// Forget drops jobs that ended before the given time and returns their ids.
+// Forget removes the jobs that ended before the given time, once their final state is
+// stored, and returns their IDs.
 func (a *Accountant) Forget(before time.Time) []string {
 	var ids []string
 	for _, id := range a.jobIDs() {
 		j := a.Jobs[id]
-		if j.StoredState.Final() && !j.dirty && !j.flight && j.EndedAt.Before(before) {
+		if j.StoredState.Final() && !j.dirty && !j.inFlight && j.EndedAt.Before(before) {
 			delete(a.Jobs, id)
 			a.open = nil
 			ids = append(ids, id)
--- a/internal/job/accountant/occurrences_test.go
+++ b/internal/job/accountant/occurrences_test.go
@@ -7,8 +7,8 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Guards against one job that takes all memory of the owner, and of each owner after it: all of
-// its occurrences are due at once.
+// Guards against a job that uses up the memory of the owner, and of each owner after it: all
+// of its occurrences are due at once.
 func TestOpenOccurrencesAreBounded(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -17,7 +17,7 @@
 	}{
 		{"small occurrences", 1, specifier.MaxOpen},
 		{"large occurrences", specifier.MaxTasks / 4, 4},
-		{"the largest", specifier.MaxTasks, 1},
+		{"largest occurrences", specifier.MaxTasks, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -40,25 +40,25 @@
 			}
 			a.OpenDue(at(10))
 			if got := len(j.Occurrences); got != tt.open || j.Next != tt.open+1 || j.Occurrences[0] == first {
-				t.Errorf("%d occurrences are open and %d were, want %d and %d", got, j.Next, tt.open, tt.open+1)
+				t.Errorf("%d occurrences are open and %d have been opened, want %d and %d", got, j.Next, tt.open, tt.open+1)
 			}
 		})
 	}
 }
 
-// Guards against tasks that run again since the progress of their job can't be read.
-func TestAJobWhoseProgressCannotBeReadDoesNotStart(t *testing.T) {
+// Guards against tasks that run again because the progress of their job can't be read.
+func TestJobWithUnreadableProgressDoesNotStart(t *testing.T) {
 	tests := []struct {
 		name     string
 		progress string
-		waits    int // steps
+		waiting  int // number of waiting steps
 	}{
 		{"readable", `{"state":"running","next":1,"open":[{"number":0,"steps":[{"done":"01"}]}]}`, 1},
-		{"no JSON", `{`, 0},
+		{"invalid JSON", `{`, 0},
 		{"an unknown state", `{"state":"sleeping","next":1,"open":[{"number":0,"steps":[{"done":"01"}]}]}`, 0},
-		{"steps that the job lacks", `{"state":"running","next":1,"open":[{"number":0,"steps":[{},{}]}]}`, 0},
-		{"bits that can't be read", `{"state":"running","next":1,"open":[{"number":0,"steps":[{"done":"zz"}]}]}`, 0},
-		{"an occurrence too many", `{"state":"running","next":2,"open":[{"number":1,"steps":[{"done":"01"}]}]}`, 0},
+		{"more steps than the job", `{"state":"running","next":1,"open":[{"number":0,"steps":[{},{}]}]}`, 0},
+		{"invalid bitmap", `{"state":"running","next":1,"open":[{"number":0,"steps":[{"done":"zz"}]}]}`, 0},
+		{"more occurrences than the job", `{"state":"running","next":2,"open":[{"number":1,"steps":[{"done":"01"}]}]}`, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -66,23 +66,23 @@
 			j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore})
 			err := a.Restore(j.Spec.ID, []byte(tt.progress), at(10))
 			a.OpenDue(at(20))
-			if got := len(a.WaitingSteps(at(20))); got != tt.waits || (err == nil) != (tt.waits > 0) {
-				t.Errorf("%d steps wait, %v", got, err)
+			if got := len(a.WaitingSteps(at(20))); got != tt.waiting || (err == nil) != (tt.waiting > 0) {
+				t.Errorf("%d steps wait, error: %v", got, err)
 			}
 		})
 	}
 }
 
-// Guards against an owner that ends at a record of a job that could never have been accepted.
-func TestWhichJobsAreRead(t *testing.T) {
+// Guards against an owner that crashes at a record of a job that could never have been accepted.
+func TestDecodeJob(t *testing.T) {
 	tests := []struct {
 		name  string
 		value string
 		ok    bool
 	}{
-		{"whole", `{"id":"0000000000000001","queue":"q","steps":[{"count":1},{"count":1,"after":[0]}]}`, true},
-		{"remains", `{"id":"0000000000000001","queue":"q","ended":"done"}`, true},
-		{"no JSON", `{`, false},
+		{"valid", `{"id":"0000000000000001","queue":"q","steps":[{"count":1},{"count":1,"after":[0]}]}`, true},
+		{"tombstone", `{"id":"0000000000000001","queue":"q","ended":"done"}`, true},
+		{"invalid JSON", `{`, false},
 		{"no steps", `{"id":"0000000000000001","queue":"q"}`, false},
 		{"after a step that does not exist", `{"id":"0000000000000001","queue":"q","steps":[{"count":1,"after":[7]}]}`, false},
 		{"too many occurrences", `{"id":"0000000000000001","queue":"q","steps":[{"count":1}],"occurrences":99999999999}`, false},
--- a/internal/job/accountant/record.go
+++ b/internal/job/accountant/record.go
@@ -9,8 +9,8 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Record is the progress of a job as the store keeps it. What runs is not in it:
-// the workers know that.
+// Record is the stored progress of a job. It does not list the runs: those are
+// reported by the workers.
 type Record struct {
 	State    JobState           `json:"state"`
 	EndedAt  int64              `json:"ended-ms,omitempty"` // Unix ms
@@ -19,7 +19,7 @@
 	Open     []OccurrenceRecord `json:"open,omitempty"`
 }
 
-// OccurrenceRecord is the progress of an occurrence that is not finished.
+// OccurrenceRecord is the progress of an unfinished occurrence.
 type OccurrenceRecord struct {
 	Number int          `json:"number"`
 	Steps  []StepRecord `json:"steps"`
@@ -27,8 +27,8 @@
 
 // StepRecord is the progress of a step.
 type StepRecord struct {
-	Done   string          `json:"done,omitempty"`   // hex of a bit for each task, lowest first
-	Failed map[int][]int64 `json:"failed,omitempty"` // by task: numbers of the runs that ended failed
+	Done   string          `json:"done,omitempty"`   // hex-encoded bitmap with one bit per task, lowest bit first
+	Failed map[int][]int64 `json:"failed,omitempty"` // numbers of the failed runs by task index
 }
 
 // Encode returns the record of a job.
@@ -74,16 +74,16 @@
 	return r
 }
 
-// Restore gives a job, just added, the progress that the store has of it.
+// Restore applies the stored progress of a job that was just added.
 func (a *Accountant) Restore(id string, value []byte, now time.Time) error {
 	j := a.Jobs[id]
 	if j == nil {
-		return fmt.Errorf("progress of job %s, which does not exist", id)
+		return fmt.Errorf("restore progress of job %s: no such job", id)
 	}
 	if err := j.restore(value, now); err != nil {
-		// Begun anew it would run tasks a second time that are done.
+		// Starting the job from scratch would repeat tasks that are done.
 		j.Unreadable, j.Occurrences = true, nil
-		return fmt.Errorf("progress of job %s: %w", id, err)
+		return fmt.Errorf("restore progress of job %s: %w", id, err)
 	}
 	a.open = nil
 	a.openDue(j, now)
@@ -98,11 +98,11 @@
 	switch r.State {
 	case JobQueued, JobRunning, JobDone, JobFailed, JobCancelled:
 	default:
-		return fmt.Errorf("state %q", r.State)
+		return fmt.Errorf("unknown state %q", r.State)
 	}
-	known := j.Spec.Ended == "" // remains have no steps and no occurrences
-	if known && (r.Finished < 0 || r.Next < 0 || r.Next > j.Spec.Times() || r.Finished+len(r.Open) > r.Next) {
-		return fmt.Errorf("%d occurrences finished and %d open of %d that were due", r.Finished, len(r.Open), r.Next)
+	hasSteps := j.Spec.Ended == "" // tombstones have no steps and no occurrences
+	if hasSteps && (r.Finished < 0 || r.Next < 0 || r.Next > j.Spec.Times() || r.Finished+len(r.Open) > r.Next) {
+		return fmt.Errorf("inconsistent occurrences: %d finished, %d open, %d opened so far of %d", r.Finished, len(r.Open), r.Next, j.Spec.Times())
 	}
 	j.Started = r.State != JobQueued
 	var open []*Occurrence
@@ -121,13 +121,13 @@
 
 func (o *Occurrence) restore(r OccurrenceRecord, now time.Time) error {
 	if len(r.Steps) != len(o.Steps) {
-		return fmt.Errorf("occurrence %d has %d steps, its job %d", o.Number, len(r.Steps), len(o.Steps))
+		return fmt.Errorf("occurrence %d has %d steps, its job has %d", o.Number, len(r.Steps), len(o.Steps))
 	}
 	for i, sr := range r.Steps {
 		s := o.Steps[i]
 		bits, err := hex.DecodeString(sr.Done)
 		if err != nil {
-			return fmt.Errorf("done tasks of step %d: %w", i, err)
+			return fmt.Errorf("decode done tasks of step %d: %w", i, err)
 		}
 		for n, t := range s.Tasks {
 			if n/8 < len(bits) && bits[n/8]&(1<<(n%8)) != 0 {
@@ -145,45 +145,45 @@
 	return nil
 }
 
-// Flush is what the store has to be told before ends are acknowledged: the jobs
-// to write, and up to which end each VM may be acknowledged afterwards.
+// Flush is one write of progress to the store: the jobs to write, and the run ends that
+// may be acknowledged to each VM's agent once they are written.
 type Flush struct {
 	Jobs []*Job
-	ends []endMark
+	acks []pendingAck
 }
 
-type endMark struct {
-	vm   *VM
-	life string
-	seq  int64
+type pendingAck struct {
+	vm          *VM
+	incarnation string
+	seq         int64
 }
 
-// Empty tells that there is nothing to write and nothing to acknowledge.
-func (f *Flush) Empty() bool { return len(f.Jobs) == 0 && len(f.ends) == 0 }
+// Empty reports whether there is nothing to write and nothing to acknowledge.
+func (f *Flush) Empty() bool { return len(f.Jobs) == 0 && len(f.acks) == 0 }
 
-// BeginFlush collects the jobs whose progress the store lacks, and the ends that
-// may be acknowledged once they are written.
+// BeginFlush collects the jobs with unstored progress, and the run ends that may be
+// acknowledged once they are written.
 func (a *Accountant) BeginFlush() *Flush {
 	f := &Flush{}
 	for _, id := range a.jobIDs() {
 		if j := a.Jobs[id]; j.dirty {
-			j.dirty, j.flight = false, true
+			j.dirty, j.inFlight = false, true
 			f.Jobs = append(f.Jobs, j)
 		}
 	}
 	for _, vm := range a.VMs {
 		if vm.EndSeen > vm.EndStored {
-			f.ends = append(f.ends, endMark{vm, vm.Life, vm.EndSeen})
+			f.acks = append(f.acks, pendingAck{vm, vm.Life, vm.EndSeen})
 		}
 	}
 	return f
 }
 
-// EndFlush takes the outcome of a flush: states are the states written. After a
-// failure the jobs are written again.
+// EndFlush records the outcome of a flush: states holds the written state of each job
+// by ID. After an error the jobs are written again by the next flush.
 func (a *Accountant) EndFlush(f *Flush, states map[string]JobState, err error) {
 	for _, j := range f.Jobs {
-		j.flight = false
+		j.inFlight = false
 		if err != nil {
 			j.dirty = true
 			continue
@@ -193,27 +193,28 @@
 	if err != nil {
 		return
 	}
-	for _, e := range f.ends {
-		if e.vm.Life == e.life {
+	for _, e := range f.acks {
+		if e.vm.Life == e.incarnation {
 			e.vm.EndStored = max(e.vm.EndStored, e.seq)
 		}
 	}
 }
 
-// Told returns the state that callers are told: a final one only once the store
-// has it, so that it can never be taken back.
+// Told returns the state that is reported to callers. A final state is reported only
+// once it is stored, so that it can never be reverted.
 func (j *Job) Told() JobState {
 	if j.State.Final() && !j.StoredState.Final() {
 		if j.State == JobCancelled {
-			return JobCancelled // its cancellation was stored before it came here
+			return JobCancelled // the cancellation was stored before it was applied here
 		}
 		return JobRunning
 	}
 	return j.State
 }
 
-// Settle lets the jobs start whose time has come; all of them if every VM has
-// reported. It returns how many still wait.
+// Settle marks jobs as reconciled, so that they may start: all of them if every VM has
+// reported, otherwise those for which all runs under earlier owners have certainly ended.
+// It returns how many jobs are left.
 func (a *Accountant) Settle(allReported bool, now time.Time) int {
 	waiting := 0
 	for _, j := range a.Jobs {
@@ -228,31 +229,31 @@
 	return waiting
 }
 
-// Startable tells whether new runs of the job's tasks may begin.
+// Startable reports whether new runs of the job's tasks may start.
 func (j *Job) Startable() bool {
 	return !j.State.Final() && j.SettlesAt.IsZero() && !j.Unreadable
 }
 
-// EncodeRemains returns what the store keeps of a job that has ended.
+// EncodeRemains returns the tombstone of an ended job in its stored form.
 func (j *Job) EncodeRemains() ([]byte, error) {
 	b, err := json.Marshal(j.Spec.Tombstone(string(j.State), j.EndedAt))
 	if err != nil {
-		return nil, fmt.Errorf("encode remains of job %s: %w", j.Spec.ID, err)
+		return nil, fmt.Errorf("encode tombstone of job %s: %w", j.Spec.ID, err)
 	}
 	return b, nil
 }
 
-// DecodeJob reads a job as the store has it.
+// DecodeJob decodes and checks a job from its stored form.
 func DecodeJob(value []byte) (*specifier.Job, error) {
 	var j specifier.Job
 	if err := json.Unmarshal(value, &j); err != nil {
 		return nil, fmt.Errorf("decode job: %w", err)
 	}
-	if j.Ended != "" { // its remains have no steps
+	if j.Ended != "" { // a tombstone has no steps to check
 		return &j, nil
 	}
 	if err := specifier.Check(&j); err != nil {
-		return nil, fmt.Errorf("job %s: %w", j.ID, err)
+		return nil, fmt.Errorf("invalid job %q: %w", j.ID, err)
 	}
 	return &j, nil
 }
--- a/internal/job/accountant/record_test.go
+++ b/internal/job/accountant/record_test.go
@@ -8,23 +8,23 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// No owner gets through its takeover. A new owner lists all jobs; with payloads and
-// steps of all that have ended the list grows without bound, and on a small link it
-// takes longer than a call may. So only id and state remain of a job that has ended,
-// and a new owner reads from them alone that nothing of it may start again.
-func TestEndedJobsLeaveLittle(t *testing.T) {
+// Guards against a takeover that no owner can complete. A new owner lists all jobs. With the
+// payloads and steps of all ended jobs the list grows without bound, and on a slow link it
+// takes longer than the time limit of a call. So only the tombstone of an ended job is kept,
+// and a new owner must see from it that none of its tasks may start again.
+func TestTombstoneIsSmall(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 30, Needs: oneCore, Image: "image"})
 	j.Spec.Payload = strings.Repeat("x", specifier.MaxPayloadBytes)
 	a.Cancel(j.Spec.ID, at(10))
-	remains, err := j.EncodeRemains()
+	tombstone, err := j.EncodeRemains()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(remains) > 200 {
-		t.Errorf("%d bytes remain of an ended job", len(remains))
+	if len(tombstone) > 200 {
+		t.Errorf("the tombstone has %d bytes, want at most 200", len(tombstone))
 	}
-	spec, err := DecodeJob(remains)
+	spec, err := DecodeJob(tombstone)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,6 +35,6 @@
 		t.Fatalf("the next owner has %+v", got)
 	}
 	if ids := next.Forget(at(30)); len(ids) != 1 {
-		t.Errorf("%d jobs are forgotten in time, want it", len(ids))
+		t.Errorf("%d ended jobs are removed, want 1", len(ids))
 	}
 }
--- a/internal/job/accountant/report.go
+++ b/internal/job/accountant/report.go
@@ -6,7 +6,7 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Facts are what an agent says of its VM.
+// Facts is an agent's description of its VM.
 type Facts struct {
 	Name, Zone, Rack, Service string
 	WorkerID                  string
@@ -14,28 +14,29 @@
 	Capacity                  specifier.Resources
 }
 
-// Report is everything that an agent knows of its worker's runs.
+// Report is an agent's complete report on the runs of its worker.
 type Report struct {
-	Life       string // of the worker
-	Process    int64  // of the agent
+	Life       string // incarnation of the worker
+	Process    int64  // process of the agent
 	Ready      bool
-	Age        time.Duration // of what is told of the runs
-	OrdersSeen int64         // orders of this session that the agent has
+	Age        time.Duration // of the data on the runs
+	OrdersSeen int64         // number of orders of this session that the agent has received
 	Runs       []ReportedRun
-	Ends       []ReportedEnd // not acknowledged yet, in the order of their numbers
+	Ends       []ReportedEnd // not yet acknowledged, in ascending order of Seq
 	Doubts     []ReportedDoubt
 }
 
-// ReportedDoubt is a start that was not answered and that may still be carried out.
+// ReportedDoubt is an unconfirmed start: a start call that was not answered and may still
+// be carried out.
 type ReportedDoubt struct {
 	Key RunKey
 	Age time.Duration // since it was sent
 }
 
-// ReportedRun is a run that a worker has or may still get.
+// ReportedRun is a run that a worker has or may still receive.
 type ReportedRun struct {
 	Key        RunKey
-	Confirmed  bool // the worker has it; else its start was not answered
+	Confirmed  bool // the worker has it; otherwise its start was not answered
 	Stopping   bool // the agent is stopping it
 	Checkpoint string
 	Progress   int
@@ -43,7 +44,7 @@
 	Needs      specifier.Resources // as ordered; zero if the agent does not know
 }
 
-// ReportedEnd is a run that ended.
+// ReportedEnd is the end of a run.
 type ReportedEnd struct {
 	Seq        int64
 	Key        RunKey
@@ -51,37 +52,38 @@
 	Checkpoint string
 }
 
-// Changes are what a report changed.
+// Changes lists the effects of a report.
 type Changes struct {
 	Ended   []ReportedEnd
-	Lost    []*Run // gone without a word
+	Lost    []*Run // no longer listed, and no end was reported
 	Adopted []*Run // not ordered by this owner
 }
 
-// Any tells whether anything changed that decisions depend on.
+// Any reports whether anything changed that decisions depend on.
 func (c Changes) Any() bool { return len(c.Ended)+len(c.Lost)+len(c.Adopted) > 0 }
 
-// orderUnknown is above every order of a session: a run with it is not taken to be
-// gone because a report does not list it.
+// orderUnknown is above every order number of a session: a run with it does not count
+// as lost when a report does not list it.
 const orderUnknown = 1 << 62
 
-// Idle tells that the VM takes nothing new and that nothing runs or may still run there.
+// Idle reports whether the VM accepts no new tasks and has no run that is running or may
+// still start.
 func (vm *VM) Idle() bool { return !vm.Ready && len(vm.Runs) == 0 }
 
-// UncertainRuns returns the runs of a VM that have to be stopped before their tasks may
-// start again, since it is not known whether their starts are still on their way.
+// UncertainRuns returns the runs of a VM with unconfirmed starts. They have to be stopped
+// before their tasks may start again, since their starts may still be carried out.
 func (vm *VM) UncertainRuns() []*Run {
 	var found []*Run
 	for _, r := range vm.Runs {
-		if r.Uncertain {
+		if r.Unconfirmed {
 			found = append(found, r)
 		}
 	}
 	return found
 }
 
-// Attach opens a session of a VM's agent. Orders of an earlier session are void:
-// the agent refuses those that it has not seen.
+// Attach opens a session of a VM's agent. Orders of an earlier session have expired: the
+// agent refuses those that it has not received.
 func (a *Accountant) Attach(f Facts, rep Report, now time.Time) (*VM, Changes) {
 	vm := a.VMs[f.Name]
 	if vm == nil {
@@ -92,11 +94,11 @@
 	vm.Attached, vm.Process = true, rep.Process
 	vm.OrderSeq = 0
 	for _, r := range vm.Runs {
-		r.forgetOrders()
-		// A start that the earlier process had sent and that nobody has seen at the
-		// worker may be carried out seconds later, and the new process knows nothing of
-		// it. So the run stays booked until its stop has surely come first.
-		if r.Uncertain = r.Uncertain || restarted && r.StartedAt.IsZero(); r.Uncertain {
+		r.resetOrders()
+		// A start that the earlier process sent and that was never seen running may be
+		// carried out seconds later, and the new process does not know it. So the run
+		// keeps its resources until its stop is certain to take effect before the start.
+		if r.Unconfirmed = r.Unconfirmed || restarted && r.StartedAt.IsZero(); r.Unconfirmed {
 			r.Order = orderUnknown
 		}
 	}
@@ -105,18 +107,19 @@
 	return vm, a.Apply(vm, rep, now)
 }
 
-// forgetOrders forgets which orders were given on a run: those on their way when the
-// session broke may have been lost. The report that opens a session tells of a stop that
-// was not.
-func (r *Run) forgetOrders() {
+// resetOrders discards the numbers of the orders given for a run, and the pace of a
+// best-effort run: orders in transit when the session broke may have been lost. If a stop
+// was not lost, the report that opens the next session lists the run as stopping.
+func (r *Run) resetOrders() {
 	r.Order, r.StopOrder = 0, 0
 	if r.Step().Spec.Fills {
 		r.Pace = PaceUnknown
 	}
 }
 
-// forgetStop takes a run for one that nobody is stopping, for whatever it was.
-func (r *Run) forgetStop() {
+// clearStop resets a run to one that is not being stopped. The reason of the stop, such as a
+// move or a yield, is cleared with it.
+func (r *Run) clearStop() {
 	r.State, r.StopCause = Running, ""
 	r.Task.Moves, r.Task.Yielded = Moving{}, false
 	if r.StartedAt.IsZero() {
@@ -128,11 +131,12 @@
 }
 
 // stoppedByAgent is the cause of a stop that this owner did not order in this session.
-const stoppedByAgent = "its agent stops it"
+const stoppedByAgent = "stopped by its agent"
 
-// applyStop follows what the agent does with a run rather than what it was ordered. An
-// agent that has the order of a stop and lists the run as one that stays is ordered again;
-// one that stops a run for an earlier owner is believed.
+// applyStop sets whether a run is being stopped by what the agent reports, not by what it
+// was ordered. If the agent has received the order and does not list the run as stopping,
+// the stop is ordered again. If the agent is stopping a run for an earlier owner, the run
+// counts as stopping.
 func (r *Run) applyStop(stopping bool, ordersSeen int64, now time.Time) {
 	switch {
 	case stopping && r.State != Stopping:
@@ -141,12 +145,12 @@
 			r.StoppedAt = now
 		}
 	case !stopping && r.State == Stopping && r.StopOrder <= ordersSeen:
-		r.forgetStop()
+		r.clearStop()
 	}
 }
 
-// Describe takes what an agent says of its VM. Another life of the worker may have another
-// id, and another kind of VM behind it.
+// Describe records an agent's description of its VM. Another incarnation of the worker may
+// have another ID and run on another kind of VM.
 func (a *Accountant) Describe(vm *VM, f Facts) {
 	vm.Zone, vm.Rack, vm.Service, vm.Capacity, vm.WorkerID = f.Zone, f.Rack, f.Service, f.Capacity, f.WorkerID
 	vm.Labels = make(map[string]bool, len(f.Labels))
@@ -155,11 +159,11 @@
 	}
 }
 
-// Detach ends a session. The runs stay booked until their leases have run out.
+// Detach ends a session. The runs keep their resources until their leases have expired.
 func (a *Accountant) Detach(vm *VM) { vm.Attached = false }
 
-// Apply takes a whole report in. What the owner ordered and the agent has seen
-// but no longer lists is gone.
+// Apply applies a report. A run whose order the agent has received and that the report
+// does not list counts as lost.
 func (a *Accountant) Apply(vm *VM, rep Report, now time.Time) Changes {
 	var c Changes
 	listed := make(map[RunKey]bool, len(rep.Runs))
@@ -167,12 +171,12 @@
 		listed[r.Key] = true
 	}
 	if vm.Life != rep.Life {
-		vm.releaseUncertain(now)
+		vm.releaseUnconfirmedRuns(now)
 		vm.Life, vm.EndSeen, vm.EndStored, vm.Health, vm.Harm, vm.Speed = rep.Life, 0, 0, Health{}, Harm{}, Speed{}
 	}
 	vm.Version++
 	vm.Ready, vm.GrantedAt, vm.SeenAt = rep.Ready, now, now.Add(-rep.Age)
-	vm.applyDoubts(rep, now)
+	vm.applyUnconfirmedStarts(rep, now)
 	for _, e := range rep.Ends {
 		if e.Seq > vm.EndSeen {
 			vm.EndSeen = e.Seq
@@ -187,8 +191,8 @@
 	}
 	for key, r := range vm.Runs {
 		if !listed[key] && r.Order <= rep.OrdersSeen {
-			delete(r.Step().Tickets, vm.Name) // it may be what was refused
-			a.loseRun(r, now)
+			delete(r.Step().Tickets, vm.Name) // the worker may have refused the ticket
+			a.dropRun(r, now)
 			c.Lost = append(c.Lost, r)
 		}
 	}
@@ -201,20 +205,20 @@
 		r = a.adopt(vm, rep, now)
 		adopted = r
 	}
-	if r.Uncertain { // this process of the agent knows it and lists it until it is gone
-		r.Uncertain, r.Order = false, 0
+	if r.Unconfirmed { // this process of the agent knows the run, and lists it until it has ended
+		r.Unconfirmed, r.Order = false, 0
 	}
 	if rep.Confirmed && r.State == Ordered {
-		r.State, r.StartedAt, r.MovedAt = Running, now, now
+		r.State, r.StartedAt, r.ProgressedAt = Running, now, now
 	}
 	r.applyStop(rep.Stopping, ordersSeen, now)
 	if rep.Checkpoint != "" {
 		r.Checkpoint = rep.Checkpoint
 	}
 	if rep.Confirmed {
-		r.Step().Occurrence.Job.noteStarted()
+		r.Step().Occurrence.Job.markStarted()
 		r.Measure = rep.Measure
-		r.moved(rep.Progress)
+		r.updateProgress(rep.Progress)
 	}
 	return adopted
 }
--- a/internal/job/accountant/run.go
+++ b/internal/job/accountant/run.go
@@ -6,31 +6,33 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Place starts a run of a task on a VM: the room is taken from now on.
+// Place starts a run of a task on a VM. Its resources are reserved from now on.
 func (a *Accountant) Place(t *Task, vm *VM, number int64, now time.Time) *Run {
 	vm.OrderSeq++
 	r := &Run{
 		Task: t, Number: number, VM: vm, State: Ordered, Order: vm.OrderSeq, OrderedAt: now,
-		Pace: fullPace, Checkpoint: t.Checkpoint, Resumed: t.Checkpoint != "", MovedAt: now,
+		Pace: fullPace, Checkpoint: t.Checkpoint, Resumed: t.Checkpoint != "", ProgressedAt: now,
 	}
-	a.book(r)
+	a.addRun(r)
 	return r
 }
 
 const fullPace = 100 // percent
 
-// PaceUnknown is the pace of a run of which no order is known to be in force.
+// PaceUnknown is the pace of a run for which no pace order is known to be in force.
 const PaceUnknown = -1
 
-func (a *Accountant) book(r *Run) {
+// addRun adds a run to its task and VM, and reserves its resources.
+
+func (a *Accountant) addRun(r *Run) {
 	t, spec := r.Task, r.Task.Step.Spec
 	t.LastNumber = max(t.LastNumber, r.Number)
 	t.Runs = append(t.Runs, r)
 	t.Yielded, t.Ran = false, true
 	r.VM.Runs[r.Key()] = r
 	r.VM.Version++
-	if r.Unsized {
-		r.VM.unsized++
+	if r.SizeUnknown {
+		r.VM.unknownSizeRuns++
 	}
 	r.VM.Committed = r.VM.Committed.Add(spec.Committed())
 	if spec.Fills {
@@ -42,16 +44,16 @@
 	}
 }
 
-// noteStarted counts a job as started: a run of it was seen. An order alone may never be
-// carried out.
-func (j *Job) noteStarted() {
+// markStarted marks a job as started, since the worker has or had a run of it. An order
+// alone is not enough: it may never be carried out.
+func (j *Job) markStarted() {
 	j.Started = true
 	if j.State == JobQueued {
-		j.State = JobRunning // told from memory: nothing is lost if it is forgotten
+		j.State = JobRunning // reported from memory: nothing is lost if the next owner does not know it
 	}
 }
 
-// SetPace notes an order on the speed of a run.
+// SetPace records an order that sets the pace of a run.
 func (r *Run) SetPace(percent int, now time.Time) {
 	if r.Pace == fullPace || r.Pace == PaceUnknown || percent == fullPace {
 		r.PacedAt = now
@@ -60,24 +62,25 @@
 }
 
 // NextNumber returns the number of the next run of a task.
-func (a *Accountant) NextNumber(t *Task) int64 { return max(t.LastNumber, a.floor) + 1 }
+func (a *Accountant) NextNumber(t *Task) int64 { return max(t.LastNumber, a.runFloor) + 1 }
 
-// GangNumber returns the number of the next run of all tasks of a gang.
+// GangNumber returns the run number for the next start of a gang. It is the same for all
+// of its tasks.
 func (a *Accountant) GangNumber(s *Step) int64 {
-	n := a.floor
+	n := a.runFloor
 	for _, t := range s.Tasks {
 		n = max(n, t.LastNumber)
 	}
 	return n + 1
 }
 
-// unbook takes a run out of all counts; its room is free.
-func (a *Accountant) unbook(r *Run, now time.Time) {
+// removeRun removes a run from its task and VM, and frees its resources.
+func (a *Accountant) removeRun(r *Run, now time.Time) {
 	t, spec := r.Task, r.Task.Step.Spec
 	delete(r.VM.Runs, r.Key())
 	r.VM.Version++
-	if r.Unsized {
-		r.VM.unsized--
+	if r.SizeUnknown {
+		r.VM.unknownSizeRuns--
 	}
 	r.VM.Committed = r.VM.Committed.Sub(spec.Committed())
 	if spec.Fills {
@@ -96,7 +99,7 @@
 	t.WaitSince = now
 }
 
-// Stop marks a run as being stopped and returns the number of the order.
+// Stop marks a run as being stopped and returns the number of the stop order.
 func (a *Accountant) Stop(r *Run, cause string, now time.Time) int64 {
 	r.State, r.StopCause = Stopping, cause
 	if r.StoppedAt.IsZero() {
@@ -105,12 +108,12 @@
 	r.VM.OrderSeq++
 	r.StopOrder = r.VM.OrderSeq
 	if r.Order == orderUnknown {
-		r.Order = r.VM.OrderSeq // an agent that has seen it lists the run until it is gone
+		r.Order = r.VM.OrderSeq // an agent that has received it lists the run until it has ended
 	}
 	return r.VM.OrderSeq
 }
 
-// OverdueStops returns the runs whose stop was first ordered so long ago.
+// OverdueStops returns the runs whose stop was first ordered at least the given time ago.
 func (a *Accountant) OverdueStops(after time.Duration, now time.Time) []*Run {
 	var found []*Run
 	for _, vm := range a.VMs {
@@ -123,8 +126,8 @@
 	return found
 }
 
-// Unwanted returns the runs that should be stopped: their job has ended or their
-// task is done.
+// Unwanted returns the runs that should be stopped: their job has ended, their task is
+// done, or their task has another run and allows no copies.
 func (a *Accountant) Unwanted() []*Run {
 	var found []*Run
 	for _, vm := range a.VMs {
@@ -142,12 +145,12 @@
 	if t.Done || t.Step.Occurrence.Job.State.Final() {
 		return true
 	}
-	// Two runs of one task are seen when a VM comes back with a run that was given up.
+	// A task has two runs when a VM reconnects with a run that had counted as lost.
 	return !t.Step.Spec.Copies && t.Lead() != r
 }
 
-// Lead returns the run of a task that stays if only one may: the first that is not being
-// stopped, else the first; nil if there is none.
+// Lead returns the run of a task that is kept if only one is allowed: the first that is
+// not being stopped, otherwise the first. It returns nil if there is none.
 func (t *Task) Lead() *Run {
 	for _, r := range t.Runs {
 		if r.State != Stopping {
@@ -166,30 +169,30 @@
 // Ways in which a run ends.
 const (
 	EndDone    End = "done"
-	EndFailed  End = "failed"  // by its own fault or the worker's
+	EndFailed  End = "failed"  // through a fault of the task or of the worker
 	EndStopped End = "stopped" // by an order
-	EndLapsed  End = "lapsed"  // its lease ran out
+	EndLapsed  End = "lapsed"  // its lease expired
 	EndBroken  End = "broken"  // another member of its gang ended
-	EndAlone   End = "alone"   // the other members of its gang did not come
-	EndLost    End = "lost"    // the VM or the worker lost it without a word
+	EndAlone   End = "alone"   // the other members of its gang did not start
+	EndLost    End = "lost"    // the VM or the worker lost it without reporting an end
 )
 
-// EndRun applies the end of a run that the accountant may or may not know.
+// EndRun applies the end of a run. The run need not be known.
 func (a *Accountant) EndRun(vm *VM, key RunKey, how End, checkpoint string, now time.Time) {
 	r := vm.Runs[key]
 	t := a.Find(key.Task)
-	delete(vm.doubts, key)
+	delete(vm.unconfirmedStarts, key)
 	if r != nil && how == EndDone {
-		a.noteStretch(r, now)
+		a.recordRuntime(r, now)
 	}
 	if r != nil {
-		a.unbook(r, now)
+		a.removeRun(r, now)
 		t = r.Task
 	}
 	if t == nil {
 		return
 	}
-	t.Step.Occurrence.Job.noteStarted()
+	t.Step.Occurrence.Job.markStarted()
 	t.LastNumber = max(t.LastNumber, key.Number)
 	if checkpoint != "" && t.Step.Spec.Checkpoints {
 		t.Checkpoint = checkpoint
@@ -202,67 +205,68 @@
 	switch how {
 	case EndDone:
 		delete(vm.Health.Failed, key.Task)
-		vm.noteGood()
+		vm.clearHealth()
 		a.taskDone(t, now)
 	case EndFailed:
-		vm.noteFailed(key.Task, now)
-		t.shun(vm.Name)
+		vm.recordFailure(key.Task, now)
+		t.recordFailedOn(vm.Name)
 		a.taskFailed(t, key.Number, now)
 	case EndStopped, EndLapsed, EndBroken, EndAlone, EndLost:
 	}
 }
 
-func (t *Task) shun(vm string) {
+func (t *Task) recordFailedOn(vm string) {
 	if t.Shunned == nil {
 		t.Shunned = make(map[string]bool)
 	}
 	t.Shunned[vm] = true
 }
 
-// Lose gives up all runs of a VM: its worker has begun another life, or its
-// leases have surely run out. The tasks wait again, from their last checkpoint.
+// Lose removes all runs of a VM: a new incarnation of its worker has started, or its
+// leases have certainly expired. The tasks wait again, to resume from their last checkpoint.
 func (a *Accountant) Lose(vm *VM, now time.Time) []*Run {
 	var lost []*Run
 	for _, r := range vm.Runs {
 		lost = append(lost, r)
 	}
 	for _, r := range lost {
-		a.loseRun(r, now)
+		a.dropRun(r, now)
 	}
 	return lost
 }
 
-func (a *Accountant) loseRun(r *Run, now time.Time) {
+func (a *Accountant) dropRun(r *Run, now time.Time) {
 	if r.Checkpoint != "" && r.Task.Step.Spec.Checkpoints {
 		r.Task.Checkpoint = r.Checkpoint
 	}
-	a.unbook(r, now)
+	a.removeRun(r, now)
 }
 
-// adopt books a run that a worker has, or may still get, and this owner did not order.
+// adopt adds a run that a worker has, or may still receive, and that this owner did not
+// order.
 func (a *Accountant) adopt(vm *VM, rep ReportedRun, now time.Time) *Run {
 	t := a.Find(rep.Key.Task)
 	r := &Run{
 		Task: t, Number: rep.Key.Number, VM: vm, State: Running, OrderedAt: now, StartedAt: now,
-		Pace: fullPace, Resumed: true, MovedAt: now,
+		Pace: fullPace, Resumed: true, ProgressedAt: now,
 	}
 	if !rep.Confirmed {
 		r.State, r.StartedAt = Ordered, time.Time{}
 	}
 	if t == nil {
-		t = stray(rep.Key.Task, rep.Needs)
-		r.Task, r.Unsized = t, rep.Needs == specifier.Resources{}
+		t = newOrphanTask(rep.Key.Task, rep.Needs)
+		r.Task, r.SizeUnknown = t, rep.Needs == specifier.Resources{}
 	}
 	if t.Step.Spec.Fills {
-		r.Pace = PaceUnknown // an earlier owner may have slowed it down
+		r.Pace = PaceUnknown // an earlier owner may have throttled it
 	}
-	a.book(r)
+	a.addRun(r)
 	return r
 }
 
-// stray returns a task of its own for a run that a worker has of a job that has ended or
-// is not known, so that its room counts until it is stopped.
-func stray(id specifier.TaskID, needs specifier.Resources) *Task {
+// newOrphanTask returns a placeholder task for a run whose job has ended or is not known, so
+// that its resources count as used until it is stopped.
+func newOrphanTask(id specifier.TaskID, needs specifier.Resources) *Task {
 	spec := specifier.Job{ID: id.Job, Steps: []specifier.Step{{Count: 1, Needs: needs}}}
 	j := &Job{Spec: &spec, State: JobCancelled, StoredState: JobCancelled}
 	o := &Occurrence{Job: j, Number: id.Occurrence}
--- a/internal/job/accountant/state.go
+++ b/internal/job/accountant/state.go
@@ -1,7 +1,7 @@
 // Package accountant keeps the state of a cell's jobs: which tasks wait, run and
-// are done, and what each VM has committed. It imports no clock, network or
-// store: events go in with their time, and decisions read the state. It is used
-// by one goroutine.
+// are done, and which resources of each VM are committed. It uses no clock, network
+// or store: events are passed in with their time, and scheduling decisions read the
+// state. It is not safe for concurrent use.
 package accountant
 
 import (
@@ -12,55 +12,55 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// RunState is the state of a run as far as the owner knows.
+// RunState is the state of a run as known to the owner.
 type RunState int
 
 // States of a run.
 const (
-	Ordered  RunState = iota // the agent was told to start it and has not confirmed
+	Ordered  RunState = iota // its start was ordered and is not confirmed yet
 	Running                  // the worker has it
-	Stopping                 // the agent was told to stop it; its room is still taken
+	Stopping                 // its stop was ordered; its resources are still reserved
 )
 
 func (s RunState) String() string { return [...]string{"ordered", "running", "stopping"}[s] }
 
 // Run is one start of a task on a VM.
 type Run struct {
-	Task       *Task
-	Number     int64 // rises with each start of the task
-	VM         *VM
-	State      RunState
-	Order      int64 // number of the order that started it, 0 for one that was adopted
-	OrderedAt  time.Time
-	StartedAt  time.Time // when it was first seen running
-	Progress   int       // percent of its work, as last reported; of a lasting task, 100 once it is at work
-	Pace       int       // percent of full speed, as last ordered; PaceUnknown if an order may have been lost
-	PacedAt    time.Time // when it was last ordered to leave full speed or to return to it
-	Measure    int64     // tail latency in ms for a lasting task with a target, else thousandths of a core in use
-	StopCause  string
-	StopOrder  int64     // number of the latest order to stop it, 0 if none was given in this session
-	StoppedAt  time.Time // when the stop that is wanted was first ordered; zero: none is
-	StopTold   bool      // that its stop is overdue
-	Unsized    bool      // what it takes of the VM is not known: its job has ended and left no steps
-	Uncertain  bool      // ordered by way of a process of the agent that has ended, and seen by no later one
-	Checkpoint string    // latest reported
-	Resumed    bool      // from a checkpoint of an earlier run, or begun under another owner
-	MovedAt    time.Time // when the progress last changed
+	Task         *Task
+	Number       int64 // increases with each start of the task
+	VM           *VM
+	State        RunState
+	Order        int64 // number of the order that started it, 0 if it was adopted
+	OrderedAt    time.Time
+	StartedAt    time.Time // when it was first reported as running
+	Progress     int       // percent of its work, as last reported; for a long-running task, 100 once it is doing its work
+	Pace         int       // percent of full speed, as last ordered; PaceUnknown if an order may have been lost
+	PacedAt      time.Time // when it was last ordered to leave full speed or to return to it
+	Measure      int64     // tail latency in ms for a long-running task with a target, otherwise thousandths of a core in use
+	StopCause    string
+	StopOrder    int64     // number of the latest stop order, 0 if none was given in this session
+	StoppedAt    time.Time // when the current stop was first ordered; zero: it is not to be stopped
+	StopTold     bool      // the stop was reported as overdue
+	SizeUnknown  bool      // its resources are not known: its job has ended and its steps were not kept
+	Unconfirmed  bool      // ordered through an agent process that has ended, and listed by no later process
+	Checkpoint   string    // latest reported
+	Resumed      bool      // from a checkpoint of an earlier run, or started under another owner
+	ProgressedAt time.Time // when the progress last changed
 }
 
-// Key is the name of the run in reports.
+// Key returns the key that identifies the run in reports.
 func (r *Run) Key() RunKey { return RunKey{r.Task.ID(), r.Number} }
 
 // Step returns the step that the run belongs to.
 func (r *Run) Step() *Step { return r.Task.Step }
 
-// RunKey names a run.
+// RunKey identifies a run.
 type RunKey struct {
 	Task   specifier.TaskID
 	Number int64
 }
 
-// Less orders names of runs.
+// Less reports whether k sorts before o.
 func (k RunKey) Less(o RunKey) bool {
 	if k.Task != o.Task {
 		return k.Task.Less(o.Task)
@@ -73,36 +73,37 @@
 	Step       *Step
 	Index      int
 	Done       bool
-	Failed     []int64 // numbers of the runs that ended failed
-	LastNumber int64   // of its latest run, 0 if this owner knows of none
+	Failed     []int64 // numbers of the failed runs
+	LastNumber int64   // number of its latest run, 0 if this owner knows of none
 	Ran        bool    // it has had a run, or may have had one under an earlier owner
 	Checkpoint string  // to resume from
-	Runs       []*Run  // live ones; more than one only where copies are allowed
+	Runs       []*Run  // runs that have not ended; more than one only if copies are allowed
 	WaitSince  time.Time
-	NotBefore  time.Time       // after a failure
+	NotBefore  time.Time       // earliest restart after a failure
 	Shunned    map[string]bool // VMs on which a run of it failed or was refused
-	Moves      Moving          // zero: it does not move
-	Yielded    bool            // a lasting task was stopped to make room for urgent ones
+	Moves      Moving          // zero: it is not being moved
+	Yielded    bool            // long-running task that was stopped to free capacity for urgent ones
 }
 
-// Moving tells where a lasting task was stopped to start anew.
+// Moving describes the move of a long-running task: the VM on which it was stopped, if any,
+// and the one on which it is to restart.
 type Moving struct {
 	From, To string        // VMs
-	For      *Step         // that gets the room that it leaves; nil: filling tasks do
-	Hold     time.Duration // for which its room is held once its run has ended
-	Until    time.Time     // it starts elsewhere only after this
+	For      *Step         // step that gets the freed capacity; nil: best-effort tasks
+	Hold     time.Duration // how long capacity is held for it on To once its run has ended
+	Until    time.Time     // only after this it may start on another VM than To
 }
 
-// SetMove notes where a task is stopped to start anew.
+// SetMove records the move of a task that is stopped to be restarted elsewhere.
 func (a *Accountant) SetMove(t *Task, m Moving, now time.Time) {
 	t.Moves = m
-	a.moves = append(slices.DeleteFunc(a.moves, func(t *Task) bool { return !t.Moving(now) }), t)
+	a.moving = append(slices.DeleteFunc(a.moving, func(t *Task) bool { return !t.Moving(now) }), t)
 }
 
-// MovingTasks returns the tasks for which room is held on the VM that they move to.
+// MovingTasks returns the tasks for which capacity is held on the VM that they move to.
 func (a *Accountant) MovingTasks(now time.Time) []*Task {
 	var found []*Task
-	for _, t := range a.moves {
+	for _, t := range a.moving {
 		if t.Moving(now) && t.Step.Occurrence.Job.Startable() && !t.RunsOn(a.VMs[t.Moves.To]) {
 			found = append(found, t)
 		}
@@ -110,7 +111,7 @@
 	return found
 }
 
-// Moving tells whether room is held for the task on the VM that it moves to.
+// Moving reports whether capacity is held for the task on the VM that it moves to.
 func (t *Task) Moving(now time.Time) bool {
 	if t.Moves.To == "" {
 		return false
@@ -119,12 +120,12 @@
 	return now.Before(t.Moves.Until) || r != nil && r.State == Stopping
 }
 
-// Waiting tells whether the task keeps off a VM for the sake of the one it moves to.
+// Waiting reports whether the task must not start on a VM because it moves to another.
 func (t *Task) Waiting(vm string, now time.Time) bool {
 	return t.Moving(now) && t.Moves.To != vm
 }
 
-// ID returns the name of the task.
+// ID returns the ID of the task.
 func (t *Task) ID() specifier.TaskID {
 	return specifier.TaskID{Job: t.Step.Occurrence.Job.Spec.ID, Occurrence: t.Step.Occurrence.Number, Step: t.Step.Number, Index: t.Index}
 }
@@ -135,14 +136,14 @@
 	Number     int
 	Spec       *specifier.Step
 	Tasks      []*Task
-	Done       int // tasks that are done
+	Done       int // number of tasks that are done
 	ReadyAt    time.Time
-	Tickets    map[string]Ticket // by VM, for a queue that asks for advice
-	AdviseAt   time.Time         // not asked again before
+	Tickets    map[string]Ticket // by VM, for an advised queue
+	AdviseAt   time.Time         // earliest time of the next request for advice
 	name       string
 }
 
-// Name is JOB.OCCURRENCE.STEP.
+// Name returns the name of the step, JOB.OCCURRENCE.STEP.
 func (s *Step) Name() string {
 	if s.name == "" {
 		s.name = fmt.Sprintf("%s.%d.%d", s.Occurrence.Job.Spec.ID, s.Occurrence.Number, s.Number)
@@ -150,23 +151,23 @@
 	return s.name
 }
 
-// Ticket lets tasks of a step start on a VM.
+// Ticket permits tasks of a step to start on a VM.
 type Ticket struct {
 	Text  string
-	Life  string // of the worker, for which alone it holds
+	Life  string // the only incarnation of the worker for which it is valid
 	Until time.Time
 }
 
-// TicketFor returns the ticket that holds for a VM now.
+// TicketFor returns the ticket that is valid for a VM now.
 func (s *Step) TicketFor(vm *VM, now time.Time) (string, bool) {
 	t, ok := s.Tickets[vm.Name]
 	return t.Text, ok && t.Life == vm.Life && now.Before(t.Until)
 }
 
-// Finished tells whether all tasks are done.
+// Finished reports whether all tasks are done.
 func (s *Step) Finished() bool { return s.Done == len(s.Tasks) }
 
-// Ready tells whether the steps before it are finished.
+// Ready reports whether the steps that it depends on are finished.
 func (s *Step) Ready() bool {
 	for _, a := range s.Spec.After {
 		if !s.Occurrence.Steps[a].Finished() {
@@ -176,7 +177,7 @@
 	return true
 }
 
-// Occurrence is one time that a job's steps run.
+// Occurrence is one execution of a job's steps.
 type Occurrence struct {
 	Job    *Job
 	Number int
@@ -184,7 +185,7 @@
 	Steps  []*Step
 }
 
-// Finished tells whether all steps are finished.
+// Finished reports whether all steps are finished.
 func (o *Occurrence) Finished() bool {
 	for _, s := range o.Steps {
 		if !s.Finished() {
@@ -194,7 +195,7 @@
 	return true
 }
 
-// JobState is what callers are told of a job.
+// JobState is the state of a job as reported to callers.
 type JobState string
 
 // States of a job.
@@ -206,105 +207,106 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Final tells whether the state is the last one.
+// Final reports whether a job in the state has ended.
 func (s JobState) Final() bool { return s == JobDone || s == JobFailed || s == JobCancelled }
 
 // Job is an accepted job.
 type Job struct {
 	Spec        *specifier.Job
-	Queue       specifier.Queue // as of the newest policy that had it
-	Occurrences []*Occurrence   // the due ones that are not finished
-	Next        int             // next occurrence to become due
-	Finished    int             // occurrences that are finished
-	Started     bool            // a task of it has started
+	Queue       specifier.Queue // from the newest policy that contained it
+	Occurrences []*Occurrence   // due and not finished
+	Next        int             // next occurrence to open
+	Finished    int             // number of finished occurrences
+	Started     bool            // one of its tasks has started
 	State       JobState
-	StoredState JobState // as the store has it; callers are told no later one
+	StoredState JobState // as stored; callers get no final state before it is stored
 	EndedAt     time.Time
-	// SettlesAt is when an earlier owner's runs of its tasks have surely ended; until
-	// then a task without a known run may run on a VM that has not reported. Zero:
-	// every run of it is known.
+	// SettlesAt is when all runs of its tasks under earlier owners have certainly ended.
+	// Until then a task without a known run may be running on a VM that has not
+	// reported. Zero: all its runs are known.
 	SettlesAt  time.Time
-	Unreadable bool // its stored progress can't be read, so nothing of it may start
-	dirty      bool // the store has less than this state
-	flight     bool // a write of it is on its way
+	Unreadable bool // its stored progress can't be read, so none of its tasks may start
+	dirty      bool // its progress is not stored yet
+	inFlight   bool // a write of its progress is in flight
 }
 
 // VM is a VM with its worker.
 type VM struct {
-	Name      string
-	Zone      string
-	Rack      string
-	Labels    map[string]bool
-	Service   string
-	WorkerID  string // by which an advising service knows its worker
-	Capacity  specifier.Resources
-	Life      string // of the worker; another life knows nothing of before
-	Ready     bool   // takes new tasks, as its worker says
-	Attached  bool   // its agent has a session and has told what runs
-	Process   int64  // of its agent
-	OrderSeq  int64  // orders sent in this session
-	EndSeen   int64  // ends of this life that were applied
-	EndStored int64  // ends of this life that the store has
-	Committed specifier.Resources
-	FillCPU   int64 // thousandths of a core that filling tasks would use
-	Lasting   int   // lasting tasks on it
-	LastCPU   int64 // thousandths of a core that they declare
-	Runs      map[RunKey]*Run
-	unsized   int // runs of unknown size
-	doubts    map[RunKey]doubt
-	Version   int64 // rises with each change of the runs or of what is reported of them
-	// GrantedAt is when the last report was answered: the agent may keep its
-	// tasks running for a grant from then on.
+	Name              string
+	Zone              string
+	Rack              string
+	Labels            map[string]bool
+	Service           string
+	WorkerID          string // ID of the worker for advising services
+	Capacity          specifier.Resources
+	Life              string // incarnation of the worker; a new one knows nothing of earlier ones
+	Ready             bool   // the worker accepts new tasks
+	Attached          bool   // its agent has a session and has reported its runs
+	Process           int64  // process of its agent
+	OrderSeq          int64  // number of orders sent in this session
+	EndSeen           int64  // highest applied end of this incarnation
+	EndStored         int64  // highest stored end of this incarnation
+	Committed         specifier.Resources
+	FillCPU           int64 // thousandths of a core that best-effort tasks would use
+	Lasting           int   // number of its runs of long-running tasks
+	LastCPU           int64 // thousandths of a core that they declare
+	Runs              map[RunKey]*Run
+	unknownSizeRuns   int // number of its runs of unknown size
+	unconfirmedStarts map[RunKey]unconfirmedStart
+	Version           int64 // increases with each change of the runs or of their reported data
+	// GrantedAt is when the last report was answered. From then on, the agent may keep
+	// its tasks running for the time granted.
 	GrantedAt time.Time
-	SeenAt    time.Time // when the worker told what the latest report says
+	SeenAt    time.Time // when the worker provided the data of the latest report
 	Speed     Speed
 	Harm      Harm
 	Health    Health
 }
 
-// Sized tells whether it is known what all runs on the VM take.
-func (vm *VM) Sized() bool { return vm.unsized == 0 }
+// Sized reports whether the resources of all runs on the VM are known.
+func (vm *VM) Sized() bool { return vm.unknownSizeRuns == 0 }
 
-// Harm is how long lasting tasks of a VM have been over their targets.
+// Harm records the interference with the long-running tasks of a VM: since when they
+// have been over or under their latency targets.
 type Harm struct {
-	OverSince  time.Time // zero: none is over
-	UnderSince time.Time // zero: one is over
-	Percent    int       // pace of the filling tasks in force; 0 means stopped
-	ChangedAt  time.Time
+	OverSince  time.Time // zero: none is over its target
+	UnderSince time.Time // zero: at least one is over its target
+	Percent    int       // highest pace allowed to the best-effort tasks; 0: stopped
+	ChangedAt  time.Time // when Percent last changed
 }
 
-// Speed is how fast a VM works on tasks, 1 as declared.
+// Speed is the measured speed at which a VM executes tasks, 1 as declared.
 type Speed struct {
 	Value   float64
 	Samples int
 }
 
-// Health is the evidence on a VM's worker.
+// Health is the health record of a VM's worker.
 type Health struct {
-	Failed       map[specifier.TaskID]time.Time // tasks that failed on it since it last did one well
-	QuarantineTo time.Time
-	Cause        string // of the quarantine
-	Times        int    // quarantines in a row
+	Failed       map[specifier.TaskID]time.Time // tasks that failed on it since its last success
+	QuarantineTo time.Time                      // end of the quarantine
+	Cause        string                         // of the quarantine
+	Times        int                            // number of consecutive quarantines
 }
 
 // Accountant is the state of a cell.
 type Accountant struct {
-	Jobs   map[string]*Job
-	VMs    map[string]*VM
-	policy *specifier.Policy
-	ended  []*Job
-	open   []string // ids of the jobs that have not ended, sorted; nil once it has changed
-	moves  []*Task  // tasks that were told to move; some are there, or do not any more
-	floor  int64    // run numbers of this owner are above it
-
-	stretches map[string]float64 // by queue
+	Jobs     map[string]*Job
+	VMs      map[string]*VM
+	policy   *specifier.Policy
+	ended    []*Job
+	open     []string // sorted IDs of the jobs that have not ended; nil: to be rebuilt
+	moving   []*Task  // tasks with a move; may include some whose move has ended
+	runFloor int64    // run numbers of this owner are higher
+
+	runtimeRatios map[string]float64 // by queue
 }
 
 // Config holds the settings of an Accountant.
 type Config struct {
-	// RunFloor is below every run number that this owner gives out, and not below
-	// any that an earlier owner gave out: numbers must rise over a task's life,
-	// while the last numbers of an earlier owner may be known to nobody.
+	// RunFloor is lower than every run number that this owner assigns, and at least as
+	// high as every number assigned by an earlier owner. The run numbers of a task must
+	// always increase, but the last ones of an earlier owner may not be known to anyone.
 	RunFloor int64
 	Policy   *specifier.Policy
 }
@@ -315,14 +317,14 @@
 	if p == nil {
 		p = &specifier.Policy{}
 	}
-	return &Accountant{Jobs: make(map[string]*Job), VMs: make(map[string]*VM), policy: p, floor: c.RunFloor, stretches: make(map[string]float64)}
+	return &Accountant{Jobs: make(map[string]*Job), VMs: make(map[string]*VM), policy: p, runFloor: c.RunFloor, runtimeRatios: make(map[string]float64)}
 }
 
 // Policy returns the policy in force.
 func (a *Accountant) Policy() *specifier.Policy { return a.policy }
 
-// SetPolicy puts a newer policy in force. A job whose queue is gone keeps the
-// last settings of its queue.
+// SetPolicy applies a newer policy. A job whose queue was removed keeps the last
+// settings of the queue.
 func (a *Accountant) SetPolicy(p *specifier.Policy) {
 	a.policy = p
 	for _, j := range a.Jobs {
--- /dev/null
+++ b/internal/job/accountant/unconfirmed.go
@@ -0,0 +1,59 @@
+package accountant
+
+import "time"
+
+// DoubtLife is how long after a start call was sent without an answer the start may still be
+// carried out. The users' platform documents a maximum of 12 s.
+const DoubtLife = 15 * time.Second
+
+// unconfirmedStart is a start call that was not answered. It does not reserve the task; the
+// run does, for as long as it is counted on the VM.
+type unconfirmedStart struct {
+	sentAt  time.Time
+	process int64 // process of the agent that reported it; 0: one that has ended
+}
+
+// applyUnconfirmedStarts applies what the agent's process reports. Starts reported by earlier
+// processes are kept: a new process does not know them, and neither does a new incarnation of
+// the worker.
+func (vm *VM) applyUnconfirmedStarts(rep Report, now time.Time) {
+	for key, u := range vm.unconfirmedStarts {
+		if u.process == rep.Process || now.Sub(u.sentAt) >= DoubtLife {
+			delete(vm.unconfirmedStarts, key)
+		}
+	}
+	for _, d := range rep.Doubts {
+		vm.recordUnconfirmedStart(d.Key, unconfirmedStart{sentAt: now.Add(-d.Age), process: rep.Process})
+	}
+}
+
+// releaseUnconfirmedRuns makes the runs that were ordered for an ended incarnation of the
+// worker, and that no process of the agent has listed, count as lost: another incarnation
+// refuses their starts.
+func (vm *VM) releaseUnconfirmedRuns(now time.Time) {
+	for key, r := range vm.Runs {
+		if !r.Unconfirmed {
+			continue
+		}
+		r.Unconfirmed, r.Order = false, 0
+		vm.recordUnconfirmedStart(key, unconfirmedStart{sentAt: now})
+	}
+}
+
+func (vm *VM) recordUnconfirmedStart(key RunKey, u unconfirmedStart) {
+	if vm.unconfirmedStarts == nil {
+		vm.unconfirmedStarts = make(map[RunKey]unconfirmedStart)
+	}
+	vm.unconfirmedStarts[key] = u
+}
+
+// Inherited returns the unconfirmed starts of earlier processes of the VM's agent.
+func (vm *VM) Inherited(now time.Time) []ReportedDoubt {
+	var all []ReportedDoubt
+	for key, u := range vm.unconfirmedStarts {
+		if u.process != vm.Process {
+			all = append(all, ReportedDoubt{Key: key, Age: now.Sub(u.sentAt)})
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/internal/job/accountant/unconfirmed_test.go
@@ -0,0 +1,86 @@
+package accountant
+
+import (
+	"testing"
+	"time"
+
+	"bamboospread/internal/job/specifier"
+)
+
+// Guards against unconfirmed starts that are lost with the agent process that sent them: the
+// next incarnation of the worker may receive them while the new process does not know them.
+func TestUnconfirmedStartsSurviveAgentRestart(t *testing.T) {
+	start := []ReportedDoubt{{Key: key(1, 0, 0, 1), Age: time.Second}}
+	tests := []struct {
+		name    string
+		reports []Report // one a second
+		want    int      // unconfirmed starts that have to be passed to the last process
+	}{
+		{"the process that reported it", []Report{{Process: 1, Doubts: start}, {Process: 1, Doubts: start}}, 0},
+		{"the next process", []Report{{Process: 1, Doubts: start}, {Process: 2}}, 1},
+		{"the process after the next", []Report{{Process: 1, Doubts: start}, {Process: 2}, {Process: 3}}, 1},
+		{"the next process reports it", []Report{{Process: 1, Doubts: start}, {Process: 2}, {Process: 2, Doubts: start}}, 0},
+		{"it is no longer reported", []Report{{Process: 1, Doubts: start}, {Process: 1}, {Process: 2}}, 0},
+		{"its run has ended", []Report{{Process: 1, Doubts: start}, {Process: 2, Ends: []ReportedEnd{{Seq: 1, Key: start[0].Key, How: EndDone}}}, {Process: 2}}, 0},
+		{"a new incarnation of the worker", []Report{{Process: 1, Doubts: start}, {Process: 2, Life: "2"}}, 1},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			a := newState(t, 3)
+			vm := attach(a, "vm")
+			now := begin
+			for _, r := range tt.reports {
+				now = now.Add(time.Second)
+				if r.Life == "" {
+					r.Life = "1"
+				}
+				if r.Process != vm.Process {
+					a.Attach(Facts{Name: "vm", Capacity: eightCore}, r, now)
+				} else {
+					a.Apply(vm, r, now)
+				}
+			}
+			got := vm.Inherited(now)
+			if len(got) != tt.want {
+				t.Fatalf("inherited %+v, want %d", got, tt.want)
+			}
+			if tt.want == 1 && got[0].Key != start[0].Key {
+				t.Errorf("inherited %+v", got)
+			}
+			now = begin.Add(DoubtLife + 2*time.Second)
+			a.Apply(vm, Report{Life: vm.Life, Process: vm.Process}, now)
+			if got := vm.Inherited(now); len(got) != 0 {
+				t.Errorf("inherited %+v after the limit for unanswered starts", got)
+			}
+		})
+	}
+}
+
+// Guards against a task that waits for a start that was ordered for an ended incarnation of
+// the worker. The new incarnation refuses it, and the agent's new process is informed of it.
+func TestUnconfirmedRunsEndWithWorkerIncarnation(t *testing.T) {
+	tests := []struct {
+		name              string
+		incarnation       string
+		kept, unconfirmed int
+	}{
+		{"the same incarnation", "1", 1, 0},
+		{"another incarnation", "2", 0, 1},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			a := newState(t, 3)
+			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
+			vm, _ := a.Attach(Facts{Name: "vm", Capacity: eightCore}, Report{Life: "1", Process: 1, Ready: true}, at(0))
+			waiting := a.Find(task(1, 0, 0))
+			a.Place(waiting, vm, 1, at(0))
+			a.Attach(Facts{Name: "vm", Capacity: eightCore}, Report{Life: tt.incarnation, Process: 2, Ready: true}, at(10))
+			if got := len(vm.UncertainRuns()); got != tt.kept || j.runs() != tt.kept {
+				t.Errorf("%d runs are kept, %d of them unconfirmed, want %d", j.runs(), got, tt.kept)
+			}
+			if got := len(vm.Inherited(at(20))); got != tt.unconfirmed {
+				t.Errorf("%d starts are passed to the new process, want %d", got, tt.unconfirmed)
+			}
+		})
+	}
+}
