--- a/internal/agent/runner/loads.go
+++ b/internal/agent/runner/loads.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	loadsKept  = 30 * time.Second
-	loadsApart = 1500 * time.Millisecond // that windows of worker and agent may end apart
+	loadRetention = 30 * time.Second
+	maxLoadOffset = 1500 * time.Millisecond // between the ends of the windows of worker and agent
 )
 
-// timedLoad is what the local upstreams did until a moment.
-type timedLoad struct {
-	to       time.Time
+// loadWindow is the load of the local upstreams in a window.
+type loadWindow struct {
+	end      time.Time
 	services []messenger.ServiceLoad
 }
 
-// keepLoad notes what the upstreams did since the last call.
-func (r *Runner) keepLoad(now time.Time, services []messenger.ServiceLoad) {
-	r.loads = append(r.loads, timedLoad{to: now, services: services})
-	for now.Sub(r.loads[0].to) > loadsKept {
+// recordLoad stores the load of the upstreams since the last call.
+func (r *Runner) recordLoad(now time.Time, services []messenger.ServiceLoad) {
+	r.loads = append(r.loads, loadWindow{end: now, services: services})
+	for now.Sub(r.loads[0].end) > loadRetention {
 		r.loads = r.loads[1:]
 	}
 }
 
-// loadAt returns the load of the window that ended nearest to a moment. The
-// worker's report lags while the agent's own measurement doesn't: sent together,
-// the owner would match the answers of now to the tasks of then, and put a
-// slowdown down to tasks that had not started. Without a window that near, the
-// load counts as unknown.
-func (r *Runner) loadAt(to time.Time) []messenger.ServiceLoad {
+// loadAt returns the load of the window that ended nearest to the given time.
+// The worker's report lags, the agent's own measurement does not. If the current
+// load were sent with the worker's report, the owner would match current response
+// times with earlier tasks, and attribute a slowdown to tasks that had not
+// started. Without a window within maxLoadOffset the load is unknown.
+func (r *Runner) loadAt(end time.Time) []messenger.ServiceLoad {
 	var best []messenger.ServiceLoad
-	least := loadsApart
+	least := maxLoadOffset
 	for _, l := range r.loads {
-		if apart := l.to.Sub(to).Abs(); apart <= least {
-			best, least = l.services, apart
+		if offset := l.end.Sub(end).Abs(); offset <= least {
+			best, least = l.services, offset
 		}
 	}
 	return best
--- a/internal/agent/runner/order.go
+++ b/internal/agent/runner/order.go
@@ -12,18 +12,19 @@
 	"bamboospread/internal/worker/driver"
 )
 
-// take carries out a reply to the poll that was sent at the given time.
-func (r *Runner) take(ctx context.Context, sent time.Time, p messenger.Poll, reply messenger.PollReply) error {
+// applyReply executes the reply to the poll that was sent at the given time.
+func (r *Runner) applyReply(ctx context.Context, sent time.Time, p messenger.Poll, reply messenger.PollReply) error {
 	if reply.Epoch < r.epoch {
-		// A process that lost the cell while it was paused: its successor may
-		// have given the tasks away, so neither its orders nor its leases count.
+		// The reply comes from a process that lost the cell while it was paused.
+		// Its successor may have assigned the tasks elsewhere, so neither its
+		// orders nor its leases are valid.
 		r.config.Reporter.Report(reporter.RunnerReplyRefused, reporter.Fields{"epoch": reply.Epoch, "seen": r.epoch})
 		return fmt.Errorf("reply of epoch %d after epoch %d", reply.Epoch, r.epoch)
 	}
 	r.epoch = reply.Epoch
-	r.noteSession(true, nil)
+	r.setConnected(true, nil)
 	r.leaseUntil = sent.Add(messenger.FromMillis(reply.LeaseMillis))
-	if err := r.renew(ctx); err != nil {
+	if err := r.renewLeases(ctx); err != nil {
 		return err
 	}
 	for _, at := range reply.Acked {
@@ -33,51 +34,52 @@
 	}
 	if p.Leaving {
 		select {
-		case <-r.left:
+		case <-r.leavingAcked:
 		default:
-			close(r.left)
+			close(r.leavingAcked)
 		}
 	}
-	r.carryOut(ctx, sent, reply.Orders)
+	r.executeOrders(ctx, sent, reply.Orders)
 	return nil
 }
 
-// renew lets the worker's tasks run as long as the VM's lease. The worker ends
-// them by itself then, so that the lease holds also when this agent is paused
-// or dead. It is a moment, not a length, so a pause before the call adds nothing.
-func (r *Runner) renew(ctx context.Context) error {
+// renewLeases sets the leases of the worker's tasks to the lease of the VM. The
+// worker itself ends tasks whose lease has expired, so that the lease also holds
+// when this agent is paused or has exited. The lease is a point in time and not a
+// duration, so a pause before the call does not extend it.
+func (r *Runner) renewLeases(ctx context.Context) error {
 	if err := r.config.Driver.RenewLeasesUntil(ctx, r.leaseUntil.Round(0)); err != nil {
 		return fmt.Errorf("renew leases at worker: %w", err)
 	}
 	return nil
 }
 
-// refusal is an order that was not carried out.
+// refusal is an order that was not executed.
 type refusal struct {
 	order  messenger.Order
 	state  messenger.ReportState
 	reason string
 }
 
-// carryOut carries orders out and returns when all are done, so that the next
-// poll tells of each.
-func (r *Runner) carryOut(ctx context.Context, sent time.Time, orders []messenger.Order) {
-	room := r.room()
+// executeOrders executes orders and returns when all are done, so that the next
+// poll reports the effect of each.
+func (r *Runner) executeOrders(ctx context.Context, sent time.Time, orders []messenger.Order) {
+	free := r.freeCapacity()
 	refusals := make(chan refusal, len(orders))
-	slots := make(chan struct{}, ordersAtOnce)
+	slots := make(chan struct{}, maxConcurrentOrders)
 	var wait sync.WaitGroup
 	for _, order := range orders {
 		reason := ""
 		if order.Kind == messenger.OrderStart {
-			if reason = r.objection(order, sent, room); reason == "" && !r.runs(order) {
-				room = room.Sub(order.Needs)
+			if reason = r.checkStart(order, sent, free); reason == "" && !r.isRunning(order) {
+				free = free.Sub(order.Needs)
 			}
 		}
 		slots <- struct{}{}
 		wait.Add(1)
 		go func() {
 			defer func() { <-slots; wait.Done() }()
-			if refused := r.perform(ctx, order, sent, reason); refused != nil {
+			if refused := r.execute(ctx, order, sent, reason); refused != nil {
 				refusals <- *refused
 			}
 		}()
@@ -85,11 +87,11 @@
 	wait.Wait()
 	close(refusals)
 	for refused := range refusals {
-		r.noteRefusal(refused)
+		r.recordRefusal(refused)
 	}
 }
 
-func (r *Runner) noteRefusal(f refusal) {
+func (r *Runner) recordRefusal(f refusal) {
 	at := messenger.TaskAttempt{TaskID: f.order.TaskID, Attempt: f.order.Attempt}
 	r.refused[at] = messenger.TaskReport{
 		TaskID: at.TaskID, Attempt: at.Attempt, State: f.state, Reason: f.reason,
@@ -100,59 +102,60 @@
 	})
 }
 
-// room returns what is free on the VM by the worker's own list.
-func (r *Runner) room() describer.Resources {
-	room := r.capacity.Total
+// freeCapacity returns the free capacity of the VM according to the worker's list
+// of tasks.
+func (r *Runner) freeCapacity() describer.Resources {
+	free := r.capacity.Total
 	replicas := make(map[string]int)
 	for _, t := range r.tasks {
 		if t.State == messenger.ReportRunning {
-			room = room.Sub(t.Needs)
+			free = free.Sub(t.Needs)
 			if t.Service != "" {
 				replicas[t.Service]++
 			}
 		}
 	}
 	if r.config.ServiceNeeds == nil {
-		return room
+		return free
 	}
 	for _, u := range r.upstreams() {
-		if replicas[u.Service] > 0 { // the upstream of a replica task counts once
+		if replicas[u.Service] > 0 { // count the upstream of a replica task only once
 			replicas[u.Service]--
 			continue
 		}
 		if needs, ok := r.config.ServiceNeeds(u.Service); ok {
-			room = room.Sub(needs)
+			free = free.Sub(needs)
 		}
 	}
-	return room
+	return free
 }
 
-// objection tells why a start is refused.
-func (r *Runner) objection(o messenger.Order, sent time.Time, room describer.Resources) string {
+// checkStart returns why a start must be refused, or an empty string.
+func (r *Runner) checkStart(o messenger.Order, sent time.Time, free describer.Resources) string {
 	now := r.config.Now()
 	switch {
 	case o.Epoch < r.epoch:
 		return "order of an earlier owner"
 	case r.leaving.Load():
 		return "agent is leaving"
-	case r.since(sent, now) > messenger.FromMillis(o.VoidAfterMillis):
-		// The zone may have been taken out since the owner looked; the order's
-		// life bounds how long a paused process can hold it back.
-		return "order is void, it came too late"
+	case r.elapsed(sent, now) > messenger.FromMillis(o.VoidAfterMillis):
+		// The zone may have been taken out since the owner decided; the expiry of
+		// the order bounds how long a paused process can delay it.
+		return "order expired before it was executed"
 	case !now.Before(r.leaseUntil):
-		return "lease of the VM has run out"
+		return "lease of the VM has expired"
 	}
-	if !r.runs(o) && !o.Needs.Fits(room) {
-		// The owner counts commitments too. This is the second line: it holds
-		// when an owner's books are wrong about this VM.
-		return "does not fit beside what runs on the VM"
+	if !r.isRunning(o) && !o.Needs.Fits(free) {
+		// The owner tracks commitments too. This check holds even if the owner's
+		// state of this VM is wrong.
+		return "does not fit into the free capacity of the VM"
 	}
 	return ""
 }
 
-// runs tells whether the attempt of an order runs already: the order was sent
-// again since its first effect was not reported yet.
-func (r *Runner) runs(o messenger.Order) bool {
+// isRunning reports whether the attempt of an order is already running: the
+// order was sent again because its effect was not reported yet.
+func (r *Runner) isRunning(o messenger.Order) bool {
 	for _, t := range r.tasks {
 		if t.TaskID == o.TaskID && t.Attempt == o.Attempt && t.State == messenger.ReportRunning {
 			return true
@@ -161,36 +164,38 @@
 	return false
 }
 
-// since compares the wall clock as well, since the monotonic clock stands still
-// while a whole VM is suspended.
-func (r *Runner) since(then, now time.Time) time.Duration {
-	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
+// elapsed compares the wall clock as well, since the monotonic clock stops while
+// the whole VM is suspended.
+func (r *Runner) elapsed(from, now time.Time) time.Duration {
+	return max(now.Sub(from), now.Round(0).Sub(from.Round(0)))
 }
 
-func (r *Runner) perform(ctx context.Context, o messenger.Order, sent time.Time, objection string) *refusal {
+// execute executes one order. A start with a reason to refuse it is not run.
+func (r *Runner) execute(ctx context.Context, o messenger.Order, sent time.Time, refuseReason string) *refusal {
 	switch o.Kind {
 	case messenger.OrderStart:
-		if objection != "" {
-			return r.bury(ctx, o, messenger.ReportRefused, objection)
+		if refuseReason != "" {
+			return r.preventStart(ctx, o, messenger.ReportRefused, refuseReason)
 		}
 		return r.start(ctx, o, sent)
 	case messenger.OrderStop:
 		_, err := r.config.Driver.StopTask(ctx, o.TaskID, o.Attempt)
-		return stopped(o, err)
+		return endResult(o, err)
 	case messenger.OrderCheckpoint:
 		_, err := r.config.Driver.CheckpointTask(ctx, o.TaskID, o.Attempt)
-		return stopped(o, err)
+		return endResult(o, err)
 	case messenger.OrderThrottle:
-		// Nothing is noted of one that fails: the next poll tells the percent that
-		// is in force, and the owner orders again.
+		// An error is not recorded: the next poll reports the percentage in force,
+		// and the owner sends the order again.
 		_ = r.config.Driver.ThrottleTask(ctx, o.TaskID, o.Attempt, o.Percent)
 	}
 	return nil
 }
 
-// stopped notes that an attempt is over at the worker. If the worker lists it,
-// its own report replaces this one; if not, it was never started.
-func stopped(o messenger.Order, err error) *refusal {
+// endResult returns the report on an attempt that the worker was ordered to end.
+// If the worker lists the attempt, the worker's report replaces this one; if not,
+// the attempt was never started.
+func endResult(o messenger.Order, err error) *refusal {
 	if err != nil {
 		return nil // the owner sends the order again
 	}
@@ -208,19 +213,19 @@
 	case err == nil:
 		return nil
 	case driver.IsErrTooLate(err):
-		return r.bury(ctx, o, messenger.ReportRefused, "order is void, it came too late")
+		return r.preventStart(ctx, o, messenger.ReportRefused, "order expired before it was executed")
 	case driver.IsErrAttemptOver(err):
-		return r.bury(ctx, o, messenger.ReportRefused, "attempt is over")
+		return r.preventStart(ctx, o, messenger.ReportRefused, "attempt has ended or a later one exists")
 	case driver.IsErrOutcomeUnknown(err):
-		return r.bury(ctx, o, messenger.ReportRefused, "the worker did not answer")
+		return r.preventStart(ctx, o, messenger.ReportRefused, "the worker did not answer the start")
 	}
-	return r.bury(ctx, o, messenger.ReportFailed, "the worker refused the start: "+err.Error())
+	return r.preventStart(ctx, o, messenger.ReportFailed, "the worker refused the start: "+err.Error())
 }
 
-// bury leaves a tombstone at the worker, so that the attempt can't start any
-// more, also by a call that is still on its way. Only then is it reported as
-// not started: the owner will run the task elsewhere.
-func (r *Runner) bury(ctx context.Context, o messenger.Order, state messenger.ReportState, reason string) *refusal {
+// preventStart records a tombstone at the worker, so that the attempt can't start
+// any more, not even by a call that is still in transit. Only then is the attempt
+// reported as not started: the owner will run the task elsewhere.
+func (r *Runner) preventStart(ctx context.Context, o messenger.Order, state messenger.ReportState, reason string) *refusal {
 	if _, err := r.config.Driver.StopTask(ctx, o.TaskID, o.Attempt); err != nil {
 		return nil // the owner sends the start again, or withdraws it
 	}
--- a/internal/agent/runner/runner.go
+++ b/internal/agent/runner/runner.go
@@ -1,7 +1,7 @@
-// Package runner carries out the orders of a cell's owner on the agent's own VM
-// and reports what the worker runs. It is the last line of defence: it refuses
-// orders of earlier owners, starts that come too late, and what would exceed
-// the VM.
+// Package runner executes the orders of a cell's owner on the agent's own VM and
+// reports the tasks that the worker runs. It is the last safeguard before the
+// worker: it refuses orders of earlier owners, starts that arrive too late, and
+// tasks that would exceed the capacity of the VM.
 package runner
 
 import (
@@ -17,15 +17,14 @@
 	"bamboospread/internal/worker/driver"
 )
 
-// Lengths.
 const (
-	pollWait     = time.Second             // how long the owner may hold a poll
-	pollLimit    = 2500 * time.Millisecond // until a poll is given up
-	retryPause   = 150 * time.Millisecond
-	lookEvery    = 100 * time.Millisecond // for tasks that ended while a poll waits
-	usageEvery   = time.Second
-	capacityAge  = 10 * time.Second
-	ordersAtOnce = 8
+	pollHoldTime        = time.Second // how long the owner may hold a poll
+	pollTimeout         = 2500 * time.Millisecond
+	retryDelay          = 150 * time.Millisecond
+	endCheckInterval    = 100 * time.Millisecond // for tasks that end while a poll waits
+	usageInterval       = time.Second
+	maxCapacityAge      = 10 * time.Second
+	maxConcurrentOrders = 8
 )
 
 // Config holds the settings of a Runner.
@@ -38,31 +37,32 @@
 	CallOwner   func(ctx context.Context, method string, params, result any) error
 	Upstreams   func() []messenger.Upstream    // may be nil
 	ServiceLoad func() []messenger.ServiceLoad // may be nil
-	// ServiceNeeds returns what one upstream of a service holds. May be nil.
+	// ServiceNeeds returns the resources that one upstream of a service occupies.
+	// May be nil.
 	ServiceNeeds func(service string) (describer.Resources, bool)
 	Reporter     *reporter.Reporter
 	Now          func() time.Time
 }
 
-// Runner is the part of an agent that deals with tasks. All but Drain belongs
-// to the goroutine of Run.
+// Runner is the part of an agent that runs tasks. Only Drain may be called from
+// other goroutines than that of Run.
 type Runner struct {
-	config     Config
-	epoch      int64 // highest seen
-	sequence   int64
-	leaseUntil time.Time
-	capacity   messenger.Capacity
-	capacityAt time.Time
-	usageAt    time.Time
-	connected  bool
-	workerAway bool
-	tasks      []driver.Task
-	loads      []timedLoad                                    // of the local upstreams, oldest first
-	refused    map[messenger.TaskAttempt]messenger.TaskReport // until acknowledged
+	config            Config
+	epoch             int64 // highest seen
+	sequence          int64
+	leaseUntil        time.Time
+	capacity          messenger.Capacity
+	capacityAt        time.Time
+	usageAt           time.Time
+	connected         bool
+	workerUnreachable bool
+	tasks             []driver.Task
+	loads             []loadWindow                                   // of the local upstreams, oldest first
+	refused           map[messenger.TaskAttempt]messenger.TaskReport // until acknowledged
 
-	leaving  atomic.Bool
-	draining chan struct{} // closed by the first Drain
-	left     chan struct{} // closed when the owner knows of the leaving
+	leaving      atomic.Bool
+	draining     chan struct{} // closed by the first Drain
+	leavingAcked chan struct{} // closed when the owner has answered a poll with Leaving
 }
 
 // New returns a Runner.
@@ -75,63 +75,63 @@
 	}
 	return &Runner{
 		config: c, refused: make(map[messenger.TaskAttempt]messenger.TaskReport),
-		draining: make(chan struct{}), left: make(chan struct{}),
+		draining: make(chan struct{}), leavingAcked: make(chan struct{}),
 	}
 }
 
-// Run polls the owner until ctx ends. Tasks that run then keep running under
+// Run polls the owner until ctx ends. Tasks that run at that time continue under
 // their lease, so that an agent that replaces this one finds them.
 func (r *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := r.round(ctx); err != nil {
-			_ = pauser.Pause(ctx, retryPause)
+		if err := r.pollOnce(ctx); err != nil {
+			_ = pauser.Pause(ctx, retryDelay)
 		}
 	}
 	return nil
 }
 
-// Drain tells the owner that this agent leaves, so that it starts nothing more
-// here, and returns when the owner knows.
+// Drain announces to the owner that this agent leaves, so that the owner starts
+// nothing more here, and returns when the owner has answered.
 func (r *Runner) Drain(ctx context.Context) error {
 	if r.leaving.CompareAndSwap(false, true) {
 		close(r.draining)
 	}
 	select {
-	case <-r.left:
+	case <-r.leavingAcked:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("tell owner of cell %s that agent %s leaves: %w", r.config.Cell, r.config.AgentID, ctx.Err())
+		return fmt.Errorf("announce to owner of cell %s that agent %s leaves: %w", r.config.Cell, r.config.AgentID, ctx.Err())
 	}
 }
 
-// round makes one poll and carries out its orders.
-func (r *Runner) round(ctx context.Context) error {
-	if err := r.look(ctx); err != nil {
-		// A poll without the full list would make the owner take the missing
-		// attempts as ended, and run them elsewhere while they run here.
-		if !r.workerAway {
+// pollOnce makes one poll and executes its orders.
+func (r *Runner) pollOnce(ctx context.Context) error {
+	if err := r.readWorker(ctx); err != nil {
+		// A poll without the full list would make the owner treat the missing
+		// attempts as ended and run them elsewhere while they are running here.
+		if !r.workerUnreachable {
 			r.config.Reporter.Report(reporter.RunnerWorkerAway, reporter.Fields{"error": err.Error()})
 		}
-		r.workerAway = true
+		r.workerUnreachable = true
 		return err
 	}
-	r.workerAway = false
-	p := r.poll(ctx)
-	// Lease and void times count from here, before the poll is on its way: the
-	// owner counts from later moments, so this side always ends first.
+	r.workerUnreachable = false
+	p := r.newPoll(ctx)
+	// Lease and expiry of orders count from here, before the poll is sent: the
+	// owner counts from later times, so they always expire first on this side.
 	sent := r.config.Now()
 	reply, err := r.call(ctx, p)
 	if err != nil {
-		r.noteSession(false, err)
+		r.setConnected(false, err)
 		return err
 	}
-	if reply == nil { // given up since a task ended meanwhile
+	if reply == nil { // cancelled because a task ended or the agent leaves
 		return nil
 	}
-	return r.take(ctx, sent, p, *reply)
+	return r.applyReply(ctx, sent, p, *reply)
 }
 
-func (r *Runner) noteSession(connected bool, err error) {
+func (r *Runner) setConnected(connected bool, err error) {
 	if connected == r.connected {
 		return
 	}
@@ -143,10 +143,10 @@
 	r.config.Reporter.Report(reporter.RunnerSessionLost, reporter.Fields{"cell": r.config.Cell, "error": err.Error()})
 }
 
-// look reads what the worker runs.
-func (r *Runner) look(ctx context.Context) error {
+// readWorker reads the capacity and the tasks of the worker.
+func (r *Runner) readWorker(ctx context.Context) error {
 	now := r.config.Now()
-	if r.capacityAt.IsZero() || now.Sub(r.capacityAt) > capacityAge {
+	if r.capacityAt.IsZero() || now.Sub(r.capacityAt) > maxCapacityAge {
 		c, err := r.config.Driver.GetVM(ctx)
 		if err != nil {
 			return fmt.Errorf("read capacity: %w", err)
@@ -161,15 +161,15 @@
 	return nil
 }
 
-func (r *Runner) poll(ctx context.Context) messenger.Poll {
+func (r *Runner) newPoll(ctx context.Context) messenger.Poll {
 	r.sequence++
 	p := messenger.Poll{
 		Cell: r.config.Cell, AgentID: r.config.AgentID, Incarnation: r.config.Incarnation, Epoch: r.epoch,
 		Sequence: r.sequence, Capacity: r.capacity, Upstreams: r.upstreams(), Leaving: r.leaving.Load(),
-		WaitMillis: messenger.Millis(pollWait),
+		WaitMillis: messenger.Millis(pollHoldTime),
 	}
 	for _, t := range r.tasks {
-		// The worker knows better than an earlier refusal noted here.
+		// The worker's report replaces an earlier refusal recorded here.
 		delete(r.refused, messenger.TaskAttempt{TaskID: t.TaskID, Attempt: t.Attempt})
 		p.Tasks = append(p.Tasks, messenger.TaskReport{
 			TaskID: t.TaskID, Attempt: t.Attempt, State: t.State, Reason: t.Reason, Checkpoint: t.Checkpoint,
@@ -179,10 +179,10 @@
 	for _, report := range r.refused {
 		p.Tasks = append(p.Tasks, report)
 	}
-	if now := r.config.Now(); now.Sub(r.usageAt) >= usageEvery {
+	if now := r.config.Now(); now.Sub(r.usageAt) >= usageInterval {
 		r.usageAt = now
 		if usage, err := r.config.Driver.GetUsage(ctx); err == nil && usage.ToMillis > 0 {
-			r.keepLoad(now, r.serviceLoad())
+			r.recordLoad(now, r.serviceLoad())
 			usage.Services = r.loadAt(time.UnixMilli(usage.ToMillis))
 			p.Usage = &usage
 		}
@@ -190,9 +190,9 @@
 	return p
 }
 
-// serviceLoad returns what was measured of the local upstreams. One that had no
-// requests and has none in flight is reported too, as idle: without that the
-// owner can't tell it from one that is stuck, and keeps batch tasks away.
+// serviceLoad returns the measured load of the local upstreams. A service that had
+// no requests and has none in flight is reported too, as idle: otherwise the owner
+// could not distinguish it from one that hangs, and would keep batch tasks away.
 func (r *Runner) serviceLoad() []messenger.ServiceLoad {
 	if r.config.ServiceLoad == nil {
 		return nil
@@ -224,17 +224,17 @@
 	return r.config.Upstreams()
 }
 
-// call sends the poll and waits for the reply. It gives the poll up, and
-// returns no reply, when a task has ended that the poll does not tell of or the
-// agent is to leave: the next poll tells at once. A reply to a poll given up is
-// dropped, and with it the orders that it carried; the owner sends them again.
+// call sends the poll and waits for the reply. It cancels the poll and returns no
+// reply when a task has ended that the poll does not report as ended, or when the
+// agent starts to leave: the next poll reports it at once. A reply to a cancelled
+// poll is dropped together with its orders; the owner sends them again.
 func (r *Runner) call(ctx context.Context, p messenger.Poll) (*messenger.PollReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var reply messenger.PollReply
 	done := make(chan error, 1)
 	go func() { done <- r.config.CallOwner(ctx, messenger.MethodPoll, p, &reply) }()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(endCheckInterval)
 	defer ticker.Stop()
 	draining := r.draining
 	if p.Leaving {
@@ -252,7 +252,7 @@
 			<-done
 			return nil, nil
 		case <-ticker.C:
-			if r.endedSince(ctx, p) {
+			if r.hasUnreportedEnd(ctx, p) {
 				cancel()
 				<-done
 				return nil, nil
@@ -261,9 +261,9 @@
 	}
 }
 
-// endedSince tells whether the worker has an ended attempt that the poll does
-// not report as ended.
-func (r *Runner) endedSince(ctx context.Context, p messenger.Poll) bool {
+// hasUnreportedEnd reports whether the worker has an ended attempt that the poll
+// does not report as ended.
+func (r *Runner) hasUnreportedEnd(ctx context.Context, p messenger.Poll) bool {
 	running := 0
 	for _, t := range p.Tasks {
 		if t.State == messenger.ReportRunning {
--- a/internal/agent/runner/runner_test.go
+++ b/internal/agent/runner/runner_test.go
@@ -14,46 +14,46 @@
 	"bamboospread/internal/worker/driver"
 )
 
-// bed is a runner beside a stand-in worker; the test plays the owner.
-type bed struct {
+// fixture is a runner with a stand-in worker; the test acts as the owner.
+type fixture struct {
 	t      *testing.T
-	skew   time.Duration // added to the real time
+	skew   time.Duration // of the runner's clock ahead of the real time
 	worker *worker.Worker
 	runner *Runner
 	polls  []messenger.Poll
 	reply  func(messenger.Poll) messenger.PollReply
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t}
-	b.worker = worker.New(worker.Config{Capacity: messenger.Capacity{VM: "vm", Total: describer.Resources{Millicores: 1000, MemoryBytes: 1000}}})
-	server := httptest.NewServer(b.worker.Handler())
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t}
+	f.worker = worker.New(worker.Config{Capacity: messenger.Capacity{VM: "vm", Total: describer.Resources{Millicores: 1000, MemoryBytes: 1000}}})
+	server := httptest.NewServer(f.worker.Handler())
 	t.Cleanup(server.Close)
-	b.runner = New(Config{
+	f.runner = New(Config{
 		Cell: "c", AgentID: "a", Incarnation: 1, Driver: driver.New(driver.Config{URL: server.URL}),
-		Now: func() time.Time { return time.Now().Add(b.skew) },
+		Now: func() time.Time { return time.Now().Add(f.skew) },
 		CallOwner: func(_ context.Context, _ string, params, result any) error {
 			p := params.(messenger.Poll)
-			b.polls = append(b.polls, p)
-			*result.(*messenger.PollReply) = b.reply(p)
+			f.polls = append(f.polls, p)
+			*result.(*messenger.PollReply) = f.reply(p)
 			return nil
 		},
 	})
-	return b
+	return f
 }
 
-// round makes one poll that is answered with the reply.
-func (b *bed) round(reply messenger.PollReply, meanwhile time.Duration) {
-	b.reply = func(messenger.Poll) messenger.PollReply {
-		b.skew += meanwhile
+// poll makes one poll that gets the reply after the delay on the runner's clock.
+func (f *fixture) poll(reply messenger.PollReply, delay time.Duration) {
+	f.reply = func(messenger.Poll) messenger.PollReply {
+		f.skew += delay
 		return reply
 	}
-	_ = b.runner.round(context.Background())
+	_ = f.runner.pollOnce(context.Background())
 }
 
-func (b *bed) starts() int {
+func (f *fixture) starts() int {
 	n := 0
-	for _, e := range b.worker.Events() {
+	for _, e := range f.worker.Events() {
 		if e.Event == worker.EventStart {
 			n++
 		}
@@ -68,122 +68,123 @@
 	}
 }
 
-// TestStartsThatAreRefused sends starts that must not happen: the worker must
-// never see them, and the next poll tells so, since the owner frees the room
-// and runs the task elsewhere.
-func TestStartsThatAreRefused(t *testing.T) {
+// TestRefusedStarts sends starts that must be refused. The worker must not receive
+// them, and the next poll must report the refusal, since the owner then frees the
+// capacity and runs the task elsewhere.
+func TestRefusedStarts(t *testing.T) {
 	reply := func(epoch int64, orders ...messenger.Order) messenger.PollReply {
 		return messenger.PollReply{Epoch: epoch, LeaseMillis: 6000, Orders: orders}
 	}
 	cases := []struct {
-		name      string
-		before    []messenger.PollReply
-		reply     messenger.PollReply
-		meanwhile time.Duration // between poll and reply
-		starts    int
-		refused   int
+		name    string
+		before  []messenger.PollReply
+		reply   messenger.PollReply
+		delay   time.Duration // between poll and reply
+		starts  int
+		refused int
 	}{
 		{"in time", nil, reply(1, start("t", 1, 1, 500)), 0, 1, 0},
-		{"reply held back or agent paused", nil, reply(1, start("t", 1, 1, 500)), 2100 * time.Millisecond, 0, 1},
-		{"owner of an earlier epoch", []messenger.PollReply{reply(2)}, reply(1, start("t", 1, 1, 500)), 0, 0, 0},
+		{"reply delayed or agent paused", nil, reply(1, start("t", 1, 1, 500)), 2100 * time.Millisecond, 0, 1},
+		{"reply of an earlier epoch", []messenger.PollReply{reply(2)}, reply(1, start("t", 1, 1, 500)), 0, 0, 0},
 		{"order of an earlier epoch", nil, reply(2, start("t", 1, 1, 500)), 0, 0, 1},
-		{"too large for the VM", nil, reply(1, start("t", 1, 1, 1500)), 0, 0, 1},
+		{"exceeds the VM", nil, reply(1, start("t", 1, 1, 1500)), 0, 0, 1},
 		{"two that do not fit together", nil, reply(1, start("t", 1, 1, 600), start("u", 1, 1, 600)), 0, 1, 1},
-		{"beside one that runs", []messenger.PollReply{reply(1, start("t", 1, 1, 600))}, reply(1, start("u", 1, 1, 600)), 0, 1, 1},
+		{"does not fit with a running task", []messenger.PollReply{reply(1, start("t", 1, 1, 600))}, reply(1, start("u", 1, 1, 600)), 0, 1, 1},
 		{"sent again", []messenger.PollReply{reply(1, start("t", 1, 1, 600))}, reply(1, start("t", 1, 1, 600)), 0, 1, 0},
-		{"stopped before", []messenger.PollReply{reply(1, messenger.Order{Kind: messenger.OrderStop, TaskID: "t", Attempt: 1, Epoch: 1})}, reply(1, start("t", 1, 1, 600)), 0, 0, 1},
+		{"attempt stopped earlier", []messenger.PollReply{reply(1, messenger.Order{Kind: messenger.OrderStop, TaskID: "t", Attempt: 1, Epoch: 1})}, reply(1, start("t", 1, 1, 600)), 0, 0, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t)
+			f := newFixture(t)
 			for _, r := range c.before {
-				b.round(r, 0)
+				f.poll(r, 0)
 			}
-			b.round(c.reply, c.meanwhile)
-			b.round(messenger.PollReply{Epoch: 9, LeaseMillis: 6000}, 0)
+			f.poll(c.reply, c.delay)
+			f.poll(messenger.PollReply{Epoch: 9, LeaseMillis: 6000}, 0)
 			refused := 0
-			for _, r := range b.polls[len(b.polls)-1].Tasks {
+			for _, r := range f.polls[len(f.polls)-1].Tasks {
 				if r.State == messenger.ReportRefused {
 					refused++
 				}
 			}
-			if b.starts() != c.starts || refused != c.refused {
-				t.Errorf("%d starts, %d refused; want %d, %d", b.starts(), refused, c.starts, c.refused)
+			if f.starts() != c.starts || refused != c.refused {
+				t.Errorf("%d starts, %d refused; want %d, %d", f.starts(), refused, c.starts, c.refused)
 			}
 		})
 	}
 }
 
-// TestReportsRepeatUntilAcked lets a reply be lost: the agent must tell again of
-// what ended, and forget it only when the owner says that it is journalled.
+// TestReportsRepeatUntilAcked leaves an ended attempt unacknowledged, as when a
+// reply is lost. The agent must report it in each poll, and drop the report only
+// when the owner acknowledges that it is in the journal.
 func TestReportsRepeatUntilAcked(t *testing.T) {
-	b := newBed(t)
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("t", 1, 1, 1500)}}, 0)
+	f := newFixture(t)
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("t", 1, 1, 1500)}}, 0)
 	for range 3 {
-		b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000}, 0)
+		f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000}, 0)
 	}
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Acked: []messenger.TaskAttempt{{TaskID: "t", Attempt: 1}}}, 0)
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000}, 0)
-	var told []int
-	for _, p := range b.polls {
-		told = append(told, len(p.Tasks))
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Acked: []messenger.TaskAttempt{{TaskID: "t", Attempt: 1}}}, 0)
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000}, 0)
+	var reported []int
+	for _, p := range f.polls {
+		reported = append(reported, len(p.Tasks))
 	}
 	want := []int{0, 1, 1, 1, 1, 0}
 	for i := range want {
-		if told[i] != want[i] {
-			t.Fatalf("reports in the polls: %v, want %v", told, want)
+		if reported[i] != want[i] {
+			t.Fatalf("reports in the polls: %v, want %v", reported, want)
 		}
 	}
 }
 
-// TestDrainTellsTheOwner: an agent that leaves says so before it ends, and
-// starts nothing more.
-func TestDrainTellsTheOwner(t *testing.T) {
-	b := newBed(t)
+// TestDrainNotifiesOwner drains the agent. It must announce to the owner that it
+// leaves before Drain returns, and start nothing more.
+func TestDrainNotifiesOwner(t *testing.T) {
+	f := newFixture(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	drained := make(chan error, 1)
-	go func() { drained <- b.runner.Drain(ctx) }()
+	go func() { drained <- f.runner.Drain(ctx) }()
 	for len(drained) == 0 {
-		b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("t", 1, 1, 500)}}, 0)
-		if n := len(b.polls); n > 1 && b.polls[n-2].Leaving && len(drained) == 0 {
+		f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("t", 1, 1, 500)}}, 0)
+		if n := len(f.polls); n > 1 && f.polls[n-2].Leaving && len(drained) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if b.polls[len(b.polls)-1].Leaving {
+		if f.polls[len(f.polls)-1].Leaving {
 			break
 		}
 	}
 	if err := <-drained; err != nil {
 		t.Fatal(err)
 	}
-	before := b.starts()
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("u", 1, 1, 100)}}, 0)
-	if b.starts() != before {
+	before := f.starts()
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 6000, Orders: []messenger.Order{start("u", 1, 1, 100)}}, 0)
+	if f.starts() != before {
 		t.Error("a leaving agent started a task")
 	}
 }
 
-// TestSizeOfTheVMIsReadAgain: the VM is made smaller while the agent runs. The owner and
-// the agent's own second line must not go on to count with the size at its start.
-func TestSizeOfTheVMIsReadAgain(t *testing.T) {
-	b := newBed(t)
-	size := messenger.Capacity{VM: "vm", Total: describer.Resources{Millicores: 1000, MemoryBytes: 1000}}
+// TestCapacityIsReadAgain makes the VM smaller while the agent runs. The owner and the
+// agent's own capacity check must not continue with the capacity at the agent's start.
+func TestCapacityIsReadAgain(t *testing.T) {
+	f := newFixture(t)
+	capacity := messenger.Capacity{VM: "vm", Total: describer.Resources{Millicores: 1000, MemoryBytes: 1000}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != driver.PathVM {
-			b.worker.Handler().ServeHTTP(w, r)
+			f.worker.Handler().ServeHTTP(w, r)
 			return
 		}
-		if err := json.NewEncoder(w).Encode(size); err != nil {
+		if err := json.NewEncoder(w).Encode(capacity); err != nil {
 			t.Error(err)
 		}
 	}))
 	t.Cleanup(server.Close)
-	b.runner.config.Driver = driver.New(driver.Config{URL: server.URL})
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 60000}, 0)
-	size.Total.Millicores = 400
-	b.skew += capacityAge + time.Second
-	b.round(messenger.PollReply{Epoch: 1, LeaseMillis: 60000, Orders: []messenger.Order{start("t", 1, 1, 500)}}, 0)
-	if told := b.polls[len(b.polls)-1].Capacity.Total.Millicores; told != 400 || b.starts() != 0 {
-		t.Errorf("told %d millicores, %d starts", told, b.starts())
+	f.runner.config.Driver = driver.New(driver.Config{URL: server.URL})
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 60000}, 0)
+	capacity.Total.Millicores = 400
+	f.skew += maxCapacityAge + time.Second
+	f.poll(messenger.PollReply{Epoch: 1, LeaseMillis: 60000, Orders: []messenger.Order{start("t", 1, 1, 500)}}, 0)
+	if reported := f.polls[len(f.polls)-1].Capacity.Total.Millicores; reported != 400 || f.starts() != 0 {
+		t.Errorf("reported %d millicores, %d starts; want 400, 0", reported, f.starts())
 	}
 }
