--- a/internal/agent/announcer/announcer.go
+++ b/internal/agent/announcer/announcer.go
@@ -1,6 +1,6 @@
 // Package announcer keeps the sessions of an agent with all entries: it announces
-// the local upstreams, sends heartbeats with load and state, answers requests by
-// the gatekeeper, and carries calls to the owners of cells.
+// the local upstreams, sends heartbeats with load and state, passes requests of
+// entries to the gatekeeper, and carries calls to the owners of cells.
 package announcer
 
 import (
@@ -18,56 +18,57 @@
 const (
 	defaultInterval = time.Second
 	dialTimeout     = time.Second
-	callTimeout     = 2 * time.Second
-	// beatTimeout and maxSilent bound how long a connection that has gone silent is
-	// believed in. Polls of a cell go over it, and the lease of a VM counts from the
-	// last one that was answered.
-	beatTimeout = time.Second
-	// maxSilent is the number of heartbeats in a row without an answer after which the
-	// connection is opened anew.
-	maxSilent      = 2
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = 2 * time.Second
-	// peerForgetTime is how long a learned entry that cannot be reached is tried.
-	peerForgetTime = time.Minute
-	drainPoll      = 25 * time.Millisecond
-	// drainSilence is how long a draining agent waits for an entry that does not
-	// answer: one that is frozen must not hold up the stop.
-	drainSilence = 3 * time.Second
+	announceTimeout = 2 * time.Second
+	// heartbeatTimeout and maxMissedHeartbeats bound how long an unresponsive
+	// connection stays in use. It carries the polls of a cell, and the lease of a VM
+	// counts from the last poll that was answered.
+	heartbeatTimeout = time.Second
+	// maxMissedHeartbeats is the number of consecutive heartbeats without an answer
+	// after which a new connection is opened.
+	maxMissedHeartbeats = 2
+	initialBackoff      = 100 * time.Millisecond
+	maxBackoff          = 2 * time.Second
+	// peerRetryTime is how long an unreachable entry that was learned from another
+	// entry is retried.
+	peerRetryTime     = time.Minute
+	drainPollInterval = 25 * time.Millisecond
+	// drainReplyTimeout is how long a draining agent waits for an entry that does
+	// not answer: a frozen entry must not block the stop.
+	drainReplyTimeout = 3 * time.Second
 )
 
 // Config holds the settings of an Announcer.
 type Config struct {
 	AgentID, VM, Zone, Rack string
 	Incarnation             int64
-	Entries                 []string // RPC addresses of some entries; the others are learned
+	Entries                 []string // RPC addresses of some entries; the others are learned from them
 	Gatekeeper              *gatekeeper.Gatekeeper
 	Reporter                *reporter.Reporter
 	Interval                time.Duration // between heartbeats; default 1 s
 	FleetVersion            func() int64
-	// OnFleetVersion, if set, is called when an entry holds a higher version.
+	// OnFleetVersion, if set, is called when an entry has a higher version.
 	OnFleetVersion func(version int64, fetch func(ctx context.Context) (messenger.FleetReply, error))
 	Random         func(n int64) int64 // in [0, n); nil: math/rand
 }
 
 // Announcer owns the sessions. It is safe for concurrent use.
 type Announcer struct {
-	config   Config
-	mu       sync.Mutex
-	sessions map[string]*session // by address
-	owners   map[string]messenger.CellOwner
-	sequence int64
-	added    chan string    // addresses for which Run starts a session
-	fleets   chan fleetNews // one at a time
+	config       Config
+	mu           sync.Mutex
+	sessions     map[string]*session // by address
+	owners       map[string]messenger.CellOwner
+	sequence     int64
+	discovered   chan string      // addresses for which Run starts a session
+	fleetUpdates chan fleetUpdate // fetched one at a time
 }
 
-// fleetNews is a higher fleet version and the entry that has it.
-type fleetNews struct {
+// fleetUpdate is a higher fleet version and the connection to the entry that has it.
+type fleetUpdate struct {
 	conn    *connector.Conn
 	version int64
 }
 
-// New returns an Announcer; it hears of changes from the Gatekeeper.
+// New returns an Announcer and registers it for the changes of the Gatekeeper.
 func New(c Config) *Announcer {
 	if c.Interval <= 0 {
 		c.Interval = defaultInterval
@@ -80,15 +81,15 @@
 	}
 	a := &Announcer{
 		config: c, sessions: make(map[string]*session),
-		owners: make(map[string]messenger.CellOwner), added: make(chan string, 64),
-		fleets: make(chan fleetNews),
+		owners: make(map[string]messenger.CellOwner), discovered: make(chan string, 64),
+		fleetUpdates: make(chan fleetUpdate),
 	}
 	c.Gatekeeper.SetOnChange(a.Notify)
 	return a
 }
 
-// Run keeps one session for each known entry until ctx ends. Each has a goroutine
-// of its own, so that an entry that is frozen or cut off holds up no other.
+// Run keeps one session for each known entry until ctx ends. Each session has its
+// own goroutine, so that an entry that is frozen or unreachable delays no other.
 func (a *Announcer) Run(ctx context.Context) error {
 	ended := make(chan string)
 	running := make(map[string]bool)
@@ -107,16 +108,16 @@
 		start(address, true)
 	}
 	fetched := make(chan struct{})
-	fleets := a.fleets // nil while one is fetched
+	updates := a.fleetUpdates // nil during a fetch
 	for {
 		select {
-		case address := <-a.added:
+		case address := <-a.discovered:
 			start(address, false)
-		case n := <-fleets:
-			fleets = nil
-			go func() { a.fetchFleet(n); fetched <- struct{}{} }()
+		case u := <-updates:
+			updates = nil
+			go func() { a.fetchFleet(u); fetched <- struct{}{} }()
 		case <-fetched:
-			fleets = a.fleets
+			updates = a.fleetUpdates
 		case address := <-ended:
 			a.remove(address)
 			delete(running, address)
@@ -126,7 +127,7 @@
 				a.remove(address)
 				delete(running, address)
 			}
-			if fleets == nil {
+			if updates == nil {
 				<-fetched // its connection has ended with the session
 			}
 			return nil
@@ -135,7 +136,7 @@
 }
 
 func (a *Announcer) newSession(address string, configured bool) *session {
-	s := &session{announcer: a, address: address, configured: configured, wake: make(chan struct{}, 1), retired: make(chan struct{}, 1)}
+	s := &session{announcer: a, address: address, configured: configured, wake: make(chan struct{}, 1), replaced: make(chan struct{}, 1)}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sessions[address] = s
@@ -166,8 +167,8 @@
 	return list
 }
 
-// nextSequence numbers heartbeats over all sessions, so that an entry can tell
-// the newer of two that come over different connections.
+// nextSequence numbers heartbeats across all sessions, so that an entry can
+// determine the newer of two that arrive over different connections.
 func (a *Announcer) nextSequence() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -175,8 +176,8 @@
 	return a.sequence
 }
 
-// learn takes what an entry told of the rest of the system.
-func (a *Announcer) learn(s *session, conn *connector.Conn, r messenger.AnnounceReply) {
+// applyReply records the cell owners and the other entries that an entry reports.
+func (a *Announcer) applyReply(s *session, conn *connector.Conn, r messenger.AnnounceReply) {
 	a.mu.Lock()
 	for _, o := range r.Owners {
 		if o.Epoch >= a.owners[o.Cell].Epoch {
@@ -192,16 +193,16 @@
 	a.mu.Unlock()
 	for _, address := range unknown {
 		select {
-		case a.added <- address:
-		default: // the next reply names it again
+		case a.discovered <- address:
+		default: // the next reply lists it again
 		}
 	}
-	s.answered(r)
-	a.checkFleet(conn, r.FleetVersion)
+	s.recordReply(r)
+	a.checkFleetVersion(conn, r.FleetVersion)
 }
 
-// connected tells under the lock whether a session with the entry is open, also
-// if it was reached at another address than the one it names.
+// connected reports whether a session with the entry is open, even if it was
+// reached at another address than the one it reports. The caller holds mu.
 func (a *Announcer) connected(entryID string) bool {
 	for _, s := range a.sessions {
 		if id, conn := s.peer(); conn != nil && id == entryID {
@@ -211,8 +212,8 @@
 	return false
 }
 
-// other returns the open session with the entry that is not s.
-func (a *Announcer) other(entryID string, s *session) *session {
+// otherSession returns an open session with the entry that is not s.
+func (a *Announcer) otherSession(entryID string, s *session) *session {
 	if entryID == "" {
 		return nil
 	}
@@ -224,28 +225,27 @@
 	return nil
 }
 
-// checkFleet has Run tell of a higher fleet version. It is fetched off the
-// session's goroutine, so that heartbeats go on.
-func (a *Announcer) checkFleet(conn *connector.Conn, version int64) {
+// checkFleetVersion passes a higher fleet version to Run. The fleet is not fetched
+// on the session's goroutine, so that heartbeats continue.
+func (a *Announcer) checkFleetVersion(conn *connector.Conn, version int64) {
 	if a.config.OnFleetVersion == nil || a.config.FleetVersion == nil || version <= a.config.FleetVersion() {
 		return
 	}
 	select {
-	case a.fleets <- fleetNews{conn: conn, version: version}:
-	default: // the next heartbeat tells of it again
+	case a.fleetUpdates <- fleetUpdate{conn: conn, version: version}:
+	default: // the next heartbeat reports it again
 	}
 }
 
-func (a *Announcer) fetchFleet(n fleetNews) {
-	a.config.OnFleetVersion(n.version, func(ctx context.Context) (messenger.FleetReply, error) {
+func (a *Announcer) fetchFleet(u fleetUpdate) {
+	a.config.OnFleetVersion(u.version, func(ctx context.Context) (messenger.FleetReply, error) {
 		var reply messenger.FleetReply
-		err := n.conn.Call(ctx, messenger.MethodFleet, messenger.FleetRequest{Above: a.config.FleetVersion()}, &reply)
+		err := u.conn.Call(ctx, messenger.MethodFleet, messenger.FleetRequest{Above: a.config.FleetVersion()}, &reply)
 		return reply, err
 	})
 }
 
-// CallOwner calls the owner of a cell, as far as it is known, over the session
-// with its entry.
+// CallOwner calls the last known owner of a cell, over the session with its entry.
 func (a *Announcer) CallOwner(ctx context.Context, cell, method string, params, result any) error {
 	a.mu.Lock()
 	owner, ok := a.owners[cell]
@@ -261,23 +261,23 @@
 	return connector.Errorf(messenger.CodeUnavailable, "no session with entry %s, which owns cell %s", owner.EntryID, cell)
 }
 
-// Drain tells all entries that the agent leaves, finishes what runs, and waits
-// until no entry awaits an answer. Run must still run.
+// Drain announces to all entries that the agent leaves, finishes the requests in
+// flight, and waits until no entry awaits an answer. Run must still be running.
 func (a *Announcer) Drain(ctx context.Context) error {
 	a.config.Reporter.Report(reporter.DrainBegan, reporter.Fields{"agent": a.config.AgentID})
 	if err := a.config.Gatekeeper.Drain(ctx); err != nil {
-		return fmt.Errorf("drain the gate: %w", err)
+		return fmt.Errorf("drain the upstreams of agent %s: %w", a.config.AgentID, err)
 	}
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	from := time.Now()
 	for {
-		// An answer is handed to the connection only after the gate has counted
-		// the request as ended; closing now could lose it. The entry itself says
-		// when it awaits nothing more.
+		// The gatekeeper counts a request as ended before its answer is written to
+		// the connection; closing now could lose the answer. So the entry itself
+		// reports when it awaits no more answers.
 		waiting := ""
 		for _, s := range a.list() {
-			if s.awaited(from) {
+			if s.mayAwaitAnswer(from) {
 				waiting = s.address
 			}
 		}
--- a/internal/agent/announcer/announcer_test.go
+++ b/internal/agent/announcer/announcer_test.go
@@ -15,17 +15,17 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// entry answers like an entry and notes what it was told.
+// entry is a fake entry that answers with reply and records what it receives.
 type entry struct {
-	id      string
-	address string
-	mu      sync.Mutex
-	reply   messenger.AnnounceReply
-	conns   []*connector.Conn
-	beats   []messenger.Heartbeat
-	frozen  chan struct{}   // closed: answers; nil: answers
-	silent  *connector.Conn // the only one that is frozen; nil: all are
-	deny    bool            // the next heartbeat
+	id          string
+	address     string
+	mu          sync.Mutex
+	reply       messenger.AnnounceReply
+	conns       []*connector.Conn // of the announcements
+	heartbeats  []messenger.Heartbeat
+	block       chan struct{}   // answers wait until it is closed; nil: no waiting
+	blockedConn *connector.Conn // the only connection that block applies to; nil: all
+	deny        bool            // refuse the next heartbeat
 }
 
 func startEntry(t *testing.T, id string) *entry {
@@ -44,13 +44,13 @@
 
 func (e *entry) handle(_ context.Context, c *connector.Conn, method string, params json.RawMessage) (any, error) {
 	e.mu.Lock()
-	frozen := e.frozen
-	if e.silent != nil && e.silent != c {
-		frozen = nil
+	block := e.block
+	if e.blockedConn != nil && e.blockedConn != c {
+		block = nil
 	}
 	e.mu.Unlock()
-	if frozen != nil {
-		<-frozen
+	if block != nil {
+		<-block
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,26 +66,26 @@
 			e.deny = false
 			return nil, connector.Errorf(messenger.CodeNotExist, "no session")
 		}
-		e.beats = append(e.beats, h)
+		e.heartbeats = append(e.heartbeats, h)
 	default:
 		return method, nil
 	}
 	return e.reply, nil
 }
 
-func (e *entry) counts() (conns, beats int) {
+func (e *entry) counts() (announcements, heartbeats int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.conns), len(e.beats)
+	return len(e.conns), len(e.heartbeats)
 }
 
-func (e *entry) last() messenger.Heartbeat {
+func (e *entry) lastHeartbeat() messenger.Heartbeat {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.beats) == 0 {
+	if len(e.heartbeats) == 0 {
 		return messenger.Heartbeat{}
 	}
-	return e.beats[len(e.beats)-1]
+	return e.heartbeats[len(e.heartbeats)-1]
 }
 
 func (e *entry) set(change func(*entry)) {
@@ -120,29 +120,29 @@
 			return
 		}
 	}
-	t.Fatal("not within 10 s: " + what)
+	t.Fatal("did not happen within 10 s: " + what)
 }
 
-// TestFrozenEntryHoldsUpNoOther freezes one of two entries, as SIGSTOP does: it
-// accepts and never answers. The other one must go on getting heartbeats, and at
-// once the news that the upstream leaves, though the interval is an hour.
-func TestFrozenEntryHoldsUpNoOther(t *testing.T) {
-	frozen, good := startEntry(t, "e1"), startEntry(t, "e2")
+// TestFrozenEntryDoesNotBlockOthers freezes one of two entries, as SIGSTOP does: it
+// accepts connections and never answers. The other one must still get heartbeats,
+// and at once the state of the leaving upstream, although the interval is an hour.
+func TestFrozenEntryDoesNotBlockOthers(t *testing.T) {
+	frozen, healthy := startEntry(t, "e1"), startEntry(t, "e2")
 	release := make(chan struct{})
-	frozen.set(func(e *entry) { e.frozen = release })
+	frozen.set(func(e *entry) { e.block = release })
 	defer close(release)
-	_, g := start(t, time.Hour, frozen.address, good.address)
-	waitFor(t, "first heartbeat", func() bool { _, beats := good.counts(); return beats > 0 })
+	_, g := start(t, time.Hour, frozen.address, healthy.address)
+	waitFor(t, "first heartbeat", func() bool { _, heartbeats := healthy.counts(); return heartbeats > 0 })
 	g.Leave("u1")
-	waitFor(t, "news of leaving", func() bool {
-		h := good.last()
+	waitFor(t, "heartbeat with the leaving upstream", func() bool {
+		h := healthy.lastHeartbeat()
 		return len(h.Upstreams) == 1 && h.Upstreams[0].State == messenger.UpstreamLeaving
 	})
 }
 
-// TestLearnsEntriesAndOwners tells the agent of a second entry and of owners. It
-// must open a session there, and call the owner with the highest epoch, also
-// after an older piece of news.
+// TestLearnsEntriesAndOwners reports a second entry and owners to the agent. It must
+// open a session with that entry, and call the owner with the highest epoch, even
+// if an older owner is reported later.
 func TestLearnsEntriesAndOwners(t *testing.T) {
 	first, second := startEntry(t, "e1"), startEntry(t, "e2")
 	peers := []messenger.PeerAddress{{EntryID: "e1", Address: first.address}, {EntryID: "e2", Address: second.address}}
@@ -159,43 +159,43 @@
 		t.Errorf("got %q, %v", got, err)
 	}
 	if err := a.CallOwner(context.Background(), "other", "who", messenger.Empty{}, &got); connector.CodeOf(err) != messenger.CodeUnavailable {
-		t.Errorf("an unknown cell got %v", err)
+		t.Errorf("call to an unknown cell: %v", err)
 	}
 	a.mu.Lock()
 	owner := a.owners["main"]
 	a.mu.Unlock()
 	if owner.EntryID != "e2" {
-		t.Errorf("takes %s for the owner", owner.EntryID)
+		t.Errorf("the owner is %s, want e2", owner.EntryID)
 	}
 }
 
-// TestOneSessionForAnEntryWithTwoAddresses reaches one entry directly and through
-// a forwarder, as behind a proxy. Two sessions would throw each other out again
-// and again; one must rest.
+// TestOneSessionForAnEntryWithTwoAddresses configures one entry at two addresses, as
+// if one were a proxy. Two sessions would replace each other again and again; one
+// must stay idle.
 func TestOneSessionForAnEntryWithTwoAddresses(t *testing.T) {
 	e := startEntry(t, "e1")
-	alias := startEntry(t, "e1") // the same id at another address
+	alias := startEntry(t, "e1") // the same ID at another address
 	start(t, 10*time.Millisecond, e.address, alias.address)
 	time.Sleep(time.Second)
-	conns, beats := e.counts()
-	more, moreBeats := alias.counts()
-	if conns+more > 4 || beats+moreBeats < 20 {
-		t.Errorf("%d connections, %d heartbeats in 1 s", conns+more, beats+moreBeats)
+	announcements, heartbeats := e.counts()
+	aliasAnnouncements, aliasHeartbeats := alias.counts()
+	if announcements+aliasAnnouncements > 4 || heartbeats+aliasHeartbeats < 20 {
+		t.Errorf("%d announcements, %d heartbeats in 1 s; want at most 4, at least 20", announcements+aliasAnnouncements, heartbeats+aliasHeartbeats)
 	}
 }
 
-// TestDrainWaitsForEntries has an entry still await an answer after the gate is
-// empty: the agent must stay until the entry says that it has it.
+// TestDrainWaitsForEntries has an entry still await an answer when no requests are in
+// flight. Drain must not return until the entry reports that it awaits none.
 func TestDrainWaitsForEntries(t *testing.T) {
 	e := startEntry(t, "e1")
 	e.set(func(e *entry) { e.reply.Outstanding = 1 })
 	a, _ := start(t, time.Hour, e.address)
-	waitFor(t, "session", func() bool { _, beats := e.counts(); return beats > 0 })
+	waitFor(t, "session", func() bool { _, heartbeats := e.counts(); return heartbeats > 0 })
 	drained := make(chan error, 1)
 	go func() { drained <- a.Drain(context.Background()) }()
 	select {
 	case err := <-drained:
-		t.Fatalf("left while an answer was awaited: %v", err)
+		t.Fatalf("drained while an answer was awaited: %v", err)
 	case <-time.After(200 * time.Millisecond):
 	}
 	e.set(func(e *entry) { e.reply.Outstanding = 0 })
@@ -205,21 +205,21 @@
 }
 
 // TestReconnects closes the connection, then has the entry deny the session, as it
-// does when it was lost there. The agent must open a connection anew after the
-// first, and announce itself on the one it has after the second: closing that
-// would cut off the requests that run on it.
+// does when it has lost it. After the first the agent must open a new connection;
+// after the second it must announce itself on the existing one, since closing that
+// would abort the requests that run on it.
 func TestReconnects(t *testing.T) {
 	e := startEntry(t, "e1")
 	start(t, 10*time.Millisecond, e.address)
-	waitFor(t, "session", func() bool { conns, _ := e.counts(); return conns == 1 })
+	waitFor(t, "session", func() bool { announcements, _ := e.counts(); return announcements == 1 })
 	e.set(func(e *entry) { e.conns[0].Close() })
-	waitFor(t, "second session", func() bool { conns, _ := e.counts(); return conns == 2 })
+	waitFor(t, "second session", func() bool { announcements, _ := e.counts(); return announcements == 2 })
 	e.set(func(e *entry) { e.deny = true })
-	waitFor(t, "announcement after a denial", func() bool { conns, _ := e.counts(); return conns == 3 })
+	waitFor(t, "announcement after the denial", func() bool { announcements, _ := e.counts(); return announcements == 3 })
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.conns[2] != e.conns[1] {
-		t.Error("announced on another connection")
+		t.Error("the agent announced itself on another connection")
 	}
 }
 
@@ -234,7 +234,7 @@
 	if err := g.Renew(gatekeeper.Announcement{ID: "u2", Service: "s", Address: upstream.Listener.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "session", func() bool { conns, _ := e.counts(); return conns == 1 })
+	waitFor(t, "session", func() bool { announcements, _ := e.counts(); return announcements == 1 })
 	e.mu.Lock()
 	conn := e.conns[0]
 	e.mu.Unlock()
@@ -247,14 +247,14 @@
 	}
 }
 
-// A session is told that a later one replaced it when its own connection has just ended.
-// When the later one ends too, it opens again, and must not rest because of that news:
-// the entry would send the agent nothing until the connection is given up.
-func TestNewsOfALaterSessionDoesNotOutliveTheConnection(t *testing.T) {
+// A session is marked as replaced by a later one just after its own connection has ended.
+// When the later one ends too, it reconnects, and must not stay idle because of the old
+// mark: the entry would send the agent nothing until that connection is closed.
+func TestReplacementMarkEndsWithTheConnection(t *testing.T) {
 	e := startEntry(t, "e1")
 	a := New(Config{AgentID: "a1", Incarnation: 1, Gatekeeper: gatekeeper.New(gatekeeper.Config{}), Interval: 10 * time.Millisecond})
 	s := a.newSession(e.address, true)
-	s.retire()
+	s.markReplaced()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -262,24 +262,24 @@
 		s.run(ctx)
 	}()
 	defer func() { cancel(); <-done }()
-	waitFor(t, "heartbeats", func() bool { _, beats := e.counts(); return beats > 20 })
+	waitFor(t, "heartbeats", func() bool { _, heartbeats := e.counts(); return heartbeats > 20 })
 }
 
-// The connection to an entry that owns a cell goes silent without an end, just after a
-// poll was sent on it. A poll must come through before the lease of the VM runs out, and
-// all its tasks with it; it counts from a poll that was sent up to two seconds earlier.
-func TestSilentConnectionIsReplacedWithinTheLease(t *testing.T) {
-	const vmLease, lastPoll, pollLimit = 6 * time.Second, 2 * time.Second, 2500 * time.Millisecond
+// The connection to an entry that owns a cell stops answering without being closed, just
+// after a poll was sent on it. A poll must succeed before the lease of the VM expires and
+// all its tasks end; the lease counts from a poll that was sent up to two seconds earlier.
+func TestUnresponsiveConnectionIsReplacedWithinLease(t *testing.T) {
+	const vmLease, lastPoll, pollTimeout = 6 * time.Second, 2 * time.Second, 2500 * time.Millisecond
 	e := startEntry(t, "e1")
 	e.set(func(e *entry) { e.reply.Owners = []messenger.CellOwner{{Cell: "main", Epoch: 1, EntryID: "e1"}} })
 	a, _ := start(t, defaultInterval, e.address)
-	waitFor(t, "session", func() bool { _, beats := e.counts(); return beats > 0 })
-	silent := make(chan struct{})
-	defer close(silent)
-	e.set(func(e *entry) { e.silent, e.frozen = e.conns[0], silent })
-	began := time.Now()
+	waitFor(t, "session", func() bool { _, heartbeats := e.counts(); return heartbeats > 0 })
+	block := make(chan struct{})
+	defer close(block)
+	e.set(func(e *entry) { e.blockedConn, e.block = e.conns[0], block })
+	started := time.Now()
 	for ; ; time.Sleep(100 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(t.Context(), pollLimit)
+		ctx, cancel := context.WithTimeout(t.Context(), pollTimeout)
 		var got string
 		err := a.CallOwner(ctx, "main", "poll", messenger.Empty{}, &got)
 		cancel()
@@ -287,7 +287,7 @@
 			break
 		}
 	}
-	if took := time.Since(began); took > vmLease-lastPoll {
-		t.Errorf("it took %s", took)
+	if elapsed := time.Since(started); elapsed > vmLease-lastPoll {
+		t.Errorf("a poll succeeded after %s, want at most %s", elapsed, vmLease-lastPoll)
 	}
 }
--- a/internal/agent/announcer/session.go
+++ b/internal/agent/announcer/session.go
@@ -12,29 +12,30 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// session is the connection with one entry, opened again whenever it ends.
+// session keeps a connection with one entry and reconnects whenever it ends.
 type session struct {
 	announcer  *Announcer
 	address    string
 	configured bool
 	wake       chan struct{}
-	retired    chan struct{} // told once that a later session replaced this one
-	lingers    sync.WaitGroup
+	replaced   chan struct{}  // signalled once when a later session replaces this one
+	closing    sync.WaitGroup // old connections that stay open for their requests
 
 	mu          sync.Mutex
 	entryID     string
 	conn        *connector.Conn
-	giveUp      context.CancelFunc // ends the calls of owners on conn
-	inUse       context.Context    // until conn is given up
+	cancelCalls context.CancelFunc // cancels the calls to owners on conn
+	connCtx     context.Context    // ends when the session stops using conn
 	lastReply   time.Time
 	outstanding int
 }
 
-// retire makes room for a later session with the same entry.
-func (s *session) retire() {
+// markReplaced stops using the connection, because a later session with the same
+// entry has been announced.
+func (s *session) markReplaced() {
 	s.setConn(nil)
 	select {
-	case s.retired <- struct{}{}:
+	case s.replaced <- struct{}{}:
 	default:
 	}
 }
@@ -54,15 +55,16 @@
 	return s.entryID, s.conn
 }
 
-func (s *session) answered(r messenger.AnnounceReply) {
+func (s *session) recordReply(r messenger.AnnounceReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entryID, s.lastReply, s.outstanding = r.EntryID, time.Now(), r.Outstanding
 }
 
-// awaited tells whether the entry may still await an answer: it said so, or has
-// not been heard since the given time, but for no longer than drainSilence.
-func (s *session) awaited(since time.Time) bool {
+// mayAwaitAnswer reports whether the entry may still await an answer: it reported
+// outstanding ones, or has not replied since the given time. After
+// drainReplyTimeout without a reply it no longer counts.
+func (s *session) mayAwaitAnswer(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conn == nil {
@@ -71,38 +73,38 @@
 	if s.lastReply.After(since) && s.outstanding == 0 {
 		return false
 	}
-	silentSince := since
+	noReplySince := since
 	if s.lastReply.After(since) {
-		silentSince = s.lastReply
+		noReplySince = s.lastReply
 	}
-	return time.Since(silentSince) < drainSilence
+	return time.Since(noReplySince) < drainReplyTimeout
 }
 
-// run keeps the session until ctx ends, or until a learned entry has been away
-// for long.
+// run keeps the session until ctx ends, or until an entry that is not configured
+// has been unreachable for peerRetryTime.
 func (s *session) run(ctx context.Context) {
-	defer s.lingers.Wait()
-	backoff := firstBackoff
-	reached := time.Now()
+	defer s.closing.Wait()
+	backoff := initialBackoff
+	lastConnected := time.Now()
 	for ctx.Err() == nil {
 		var err error
-		if id, _ := s.peer(); s.announcer.other(id, s) == nil {
-			err = s.once(ctx)
+		if id, _ := s.peer(); s.announcer.otherSession(id, s) == nil {
+			err = s.runConnection(ctx)
 		}
 		if _, conn := s.peer(); conn != nil {
 			s.setConn(nil)
-			reached, backoff = time.Now(), firstBackoff
+			lastConnected, backoff = time.Now(), initialBackoff
 			s.announcer.config.Reporter.Report(reporter.SessionLost, reporter.Fields{"entry": s.address, "error": errorText(err)})
 		}
-		if !s.configured && time.Since(reached) > peerForgetTime {
+		if !s.configured && time.Since(lastConnected) > peerRetryTime {
 			return
 		}
-		// Half of the pause is random: many agents lose a restarted entry at the
-		// same moment and would all come back at the same moment.
-		pause := backoff/2 + time.Duration(s.announcer.config.Random(int64(backoff/2)))
-		backoff = min(2*backoff, longestBackoff)
+		// Half of the delay is random: when an entry restarts, many agents lose it
+		// at the same moment, and would otherwise all reconnect at the same moment.
+		delay := backoff/2 + time.Duration(s.announcer.config.Random(int64(backoff/2)))
+		backoff = min(2*backoff, maxBackoff)
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
 	}
@@ -118,52 +120,52 @@
 func (s *session) setConn(c *connector.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.giveUp != nil {
-		s.giveUp()
+	if s.cancelCalls != nil {
+		s.cancelCalls()
 	}
-	s.conn, s.outstanding, s.giveUp = c, 0, nil
+	s.conn, s.outstanding, s.cancelCalls = c, 0, nil
 	if c != nil {
-		s.inUse, s.giveUp = context.WithCancel(context.Background())
+		s.connCtx, s.cancelCalls = context.WithCancel(context.Background())
 	}
 }
 
-// call makes a call that ends when the connection is given up: one that has gone silent
-// stays open for the requests that run on it.
+// call makes a call that is cancelled when the session stops using the connection:
+// an unresponsive connection stays open for the requests that run on it.
 func (s *session) call(ctx context.Context, method string, params, result any) error {
 	s.mu.Lock()
-	conn, inUse := s.conn, s.inUse
+	conn, connCtx := s.conn, s.connCtx
 	s.mu.Unlock()
 	if conn == nil {
 		return connector.Errorf(messenger.CodeUnavailable, "the session with %s has ended", s.address)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(inUse, cancel)()
+	defer context.AfterFunc(connCtx, cancel)()
 	return conn.Call(ctx, method, params, result)
 }
 
-// once dials, announces and sends heartbeats until the connection ends.
-func (s *session) once(ctx context.Context) error {
-	dial, cancel := context.WithTimeout(ctx, dialTimeout)
-	conn, err := connector.Dial(dial, s.address, s.handle)
+// runConnection dials, announces and sends heartbeats until the connection ends.
+func (s *session) runConnection(ctx context.Context) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, err := connector.Dial(dialCtx, s.address, s.handle)
 	cancel()
 	if err != nil {
 		return err
 	}
-	silent := 0
+	missed := 0
 	defer func() {
-		if silent < maxSilent {
+		if missed < maxMissedHeartbeats {
 			conn.Close()
 			return
 		}
-		// Requests run on it; their answers may still come through.
-		s.lingers.Go(func() {
-			linger(ctx, conn)
+		// Requests run on it; their answers may still arrive.
+		s.closing.Go(func() {
+			waitForRequests(ctx, conn)
 			conn.Close()
 		})
 	}()
 	select {
-	case <-s.retired: // an earlier connection
+	case <-s.replaced: // refers to an earlier connection
 	default:
 	}
 	if err := s.announce(ctx, conn); err != nil {
@@ -177,32 +179,33 @@
 			return nil
 		case <-conn.Done():
 			return nil
-		case <-s.retired:
-			linger(ctx, conn)
+		case <-s.replaced:
+			waitForRequests(ctx, conn)
 			return nil
 		case <-ticker.C:
 		case <-s.wake:
 		}
 		err := s.heartbeat(ctx, conn)
 		if connector.CodeOf(err) == messenger.CodeNotExist {
-			// Announced anew on the same connection: opening another one would
-			// cut off the requests that run on this one.
+			// Announce again on the same connection: opening another one would
+			// abort the requests that run on this one.
 			err = s.announce(ctx, conn)
 		}
 		if err == nil {
-			silent = 0
+			missed = 0
 			continue
 		}
-		silent++
-		if connector.CodeOf(err) != 0 || silent == maxSilent {
+		missed++
+		if connector.CodeOf(err) != 0 || missed == maxMissedHeartbeats {
 			return err
 		}
 	}
 }
 
-// linger leaves a connection open for the requests that run on it.
-func linger(ctx context.Context, conn *connector.Conn) {
-	timer := time.NewTimer(lingerTime)
+// waitForRequests waits until the requests that run on the connection have reached
+// their deadlines, or the connection or ctx has ended.
+func waitForRequests(ctx context.Context, conn *connector.Conn) {
+	timer := time.NewTimer(maxRequestTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -211,32 +214,32 @@
 	}
 }
 
-// lingerTime is the longest deadline of a request.
-const lingerTime = time.Minute
+// maxRequestTime is the longest deadline of a request.
+const maxRequestTime = time.Minute
 
 func (s *session) announce(ctx context.Context, conn *connector.Conn) error {
 	c := s.announcer.config
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	var reply messenger.AnnounceReply
-	err := conn.Call(call, messenger.MethodAnnounce, messenger.Announce{
+	err := conn.Call(callCtx, messenger.MethodAnnounce, messenger.Announce{
 		AgentID: c.AgentID, Incarnation: c.Incarnation, VM: c.VM, Zone: c.Zone, Rack: c.Rack,
 		Upstreams: c.Gatekeeper.Upstreams(), Sequence: s.announcer.nextSequence(),
 	}, &reply)
 	if err != nil {
 		return err
 	}
-	// The same entry may be reached at two addresses. The entry holds to the
-	// connection that announced last, so the other one ends, and its session
-	// rests as long as this one is open.
-	if o := s.announcer.other(reply.EntryID, s); o != nil {
-		o.retire()
+	// The same entry may be reachable at two addresses. The entry uses the
+	// connection that announced last, so the other one ends, and its session stays
+	// idle as long as this one is open.
+	if o := s.announcer.otherSession(reply.EntryID, s); o != nil {
+		o.markReplaced()
 	}
 	s.setConn(conn)
 	c.Reporter.Report(reporter.SessionOpened, reporter.Fields{"entry": reply.EntryID, "address": s.address})
-	s.announcer.learn(s, conn, reply)
-	// The state may have changed between the announcement and now, when notify
-	// found no connection.
+	s.announcer.applyReply(s, conn, reply)
+	// The state may have changed since the announcement was sent, while the session
+	// had no connection.
 	s.notify()
 	return nil
 }
@@ -249,20 +252,20 @@
 	if c.FleetVersion != nil {
 		h.FleetVersion = c.FleetVersion()
 	}
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply messenger.AnnounceReply
-	if err := conn.Call(call, messenger.MethodHeartbeat, h, &reply); err != nil {
+	if err := conn.Call(callCtx, messenger.MethodHeartbeat, h, &reply); err != nil {
 		return err
 	}
-	s.announcer.learn(s, conn, reply)
+	s.announcer.applyReply(s, conn, reply)
 	return nil
 }
 
 // handle answers calls of the entry.
 func (s *session) handle(ctx context.Context, _ *connector.Conn, method string, params json.RawMessage) (any, error) {
 	if method != messenger.MethodRun {
-		return nil, connector.Errorf(messenger.CodeUnavailable, "no method %s", method)
+		return nil, connector.Errorf(messenger.CodeUnavailable, "unknown method %s", method)
 	}
 	r, err := connector.Decode[messenger.RunRequest](params)
 	if err != nil {
