--- a/internal/kernel/reporter/catalogue_control.go
+++ b/internal/kernel/reporter/catalogue_control.go
@@ -3,7 +3,7 @@
 import "github.com/apex/log"
 
 // Events of the area "control", numbered from 500. Those about tasks and VMs
-// are also the codes of the cell's decisions.
+// are also used as the codes of the cell's decisions.
 const (
 	TaskSubmitted Code = 500 + iota
 	TaskHeld
@@ -40,34 +40,34 @@
 
 var controlDefinitions = []Definition{
 	{TaskSubmitted, log.DebugLevel, "task submitted", "A task is journalled and waits for a VM."},
-	{TaskHeld, log.WarnLevel, "task held", "A task can't run; the reason tells what to change. It blocks no other task."},
-	{TaskRequeued, log.InfoLevel, "task queued again", "What kept a held task from running has changed."},
-	{TaskCancelled, log.DebugLevel, "task cancelled", "A task has ended by cancellation and runs nowhere."},
-	{StartDecided, log.DebugLevel, "start decided", "A task was given to a VM; its resources are committed from now on."},
-	{StartWithdrawn, log.InfoLevel, "start withdrawn", "A start was taken back before it was confirmed, mostly since its zone was taken out."},
-	{StartConfirmed, log.DebugLevel, "start confirmed", "The agent reports the task running."},
-	{StartRefused, log.InfoLevel, "start refused by agent", "The agent refused a start, which truly did not happen; the task is queued again."},
+	{TaskHeld, log.WarnLevel, "task held", "A task can't run; the reason says what to change. It blocks no other task."},
+	{TaskRequeued, log.InfoLevel, "task queued again", "The condition that kept a held task from running has changed."},
+	{TaskCancelled, log.DebugLevel, "task cancelled", "A task was cancelled and no attempt of it is running."},
+	{StartDecided, log.DebugLevel, "start decided", "A task was assigned to a VM; its resources are committed from now on."},
+	{StartWithdrawn, log.InfoLevel, "start withdrawn", "A start was withdrawn before it was confirmed, usually because its availability zone was taken out."},
+	{StartConfirmed, log.DebugLevel, "start confirmed", "The agent reports the task as running."},
+	{StartRefused, log.InfoLevel, "start refused by agent", "The agent refused a start, so the attempt did not run; the task is queued again."},
 	{MoveDecided, log.InfoLevel, "move decided", "A running task is checkpointed to resume on another VM."},
-	{StopDecided, log.DebugLevel, "stop decided", "A running task is stopped for a cancellation."},
-	{ThrottleDecided, log.InfoLevel, "throttle decided", "A running task gets a smaller share of processors, or its full share back."},
-	{TaskCompleted, log.DebugLevel, "task completed", "A task has finished its work."},
-	{AttemptFailed, log.InfoLevel, "attempt failed", "A task ended with an error; it is tried again on another VM until its attempts are used up."},
+	{StopDecided, log.DebugLevel, "stop decided", "A running task is stopped because of a cancellation."},
+	{ThrottleDecided, log.InfoLevel, "throttle decided", "A running task gets a smaller share of the processors, or its full share back."},
+	{TaskCompleted, log.DebugLevel, "task completed", "A task has completed."},
+	{AttemptFailed, log.InfoLevel, "attempt failed", "A task ended with an error; it is retried on another VM until its attempts are used up."},
 	{AttemptMoved, log.InfoLevel, "attempt moved", "A task was checkpointed and waits to resume."},
-	{AttemptLost, log.WarnLevel, "attempt lost", "An attempt ended without a result since its VM or lease was lost; the task is queued again."},
+	{AttemptLost, log.WarnLevel, "attempt lost", "An attempt ended without a result because its VM or lease was lost; the task is queued again."},
 	{StrayStopped, log.WarnLevel, "stray attempt stopped", "An agent reported an attempt that is not the current one; it was ordered to stop."},
 	{VMJoined, log.InfoLevel, "VM joined", "An agent opened the first session of a VM with the cell."},
-	{VMChanged, log.InfoLevel, "VM changed", "Size, place, agent or upstreams of a VM changed."},
-	{VMLost, log.WarnLevel, "VM lost", "The lease of a VM has surely run out; its tasks are queued again."},
-	{VMGone, log.InfoLevel, "VM gone", "A VM that has been away for long and holds nothing was forgotten."},
-	{VMQuarantined, log.WarnLevel, "VM quarantined", "Several different tasks failed on a VM in a row; it gets none until the time given."},
-	{VMReleased, log.InfoLevel, "VM released from quarantine", "One task at a time probes the VM."},
+	{VMChanged, log.InfoLevel, "VM changed", "The size, location, agent or upstreams of a VM changed."},
+	{VMLost, log.WarnLevel, "VM lost", "The lease of a VM has definitely expired; its tasks are queued again."},
+	{VMGone, log.InfoLevel, "VM removed", "A VM that has been disconnected for a long time and has no tasks was removed."},
+	{VMQuarantined, log.WarnLevel, "VM quarantined", "Several different tasks failed on a VM in a row; it gets no tasks until the given time."},
+	{VMReleased, log.InfoLevel, "VM released from quarantine", "The VM is probed with one task at a time."},
 	{EpochOpened, log.InfoLevel, "cell taken over", "This process owns the cell from now on."},
 	{OwnershipLost, log.WarnLevel, "ownership lost", "Another process owns the cell or soon will."},
-	{OutageLeaseGranted, log.WarnLevel, "outage lease granted", "The store can't be reached; tasks run on under the longer lease."},
-	{OutageLeaseEnded, log.InfoLevel, "outage over", "The store is reached again; VMs get the short lease."},
-	{LeasesSettled, log.InfoLevel, "earlier leases settled", "No lease of an earlier owner is in force any more."},
-	{SnapshotTaken, log.DebugLevel, "snapshot taken", "The journal was shortened."},
+	{OutageLeaseGranted, log.WarnLevel, "outage lease granted", "The store can't be reached; tasks keep running under the longer lease."},
+	{OutageLeaseEnded, log.InfoLevel, "outage ended", "The store can be reached again; VMs get the short lease."},
+	{LeasesSettled, log.InfoLevel, "earlier leases ended", "No lease of an earlier owner is in force any more."},
+	{SnapshotTaken, log.DebugLevel, "snapshot taken", "The journal was truncated after a snapshot."},
 	{SnapshotFailed, log.WarnLevel, "snapshot failed", "The journal grows until a later snapshot succeeds; recovery takes longer."},
 	{RecoveryFailed, log.ErrorLevel, "recovery failed", "This process could not read the cell's journal and tries again."},
-	{RecordRefused, log.ErrorLevel, "record refused", "A decision did not follow from the state and was dropped; a fault of the program."},
+	{RecordRefused, log.ErrorLevel, "record refused", "A decision was inconsistent with the state and was dropped; this is a bug."},
 }
--- a/internal/kernel/reporter/catalogue_kernel.go
+++ b/internal/kernel/reporter/catalogue_kernel.go
@@ -16,13 +16,13 @@
 )
 
 var kernelDefinitions = []Definition{
-	{ServiceStarted, log.InfoLevel, "service started", "A named part of the process is up; the parts that need it start next."},
-	{ServiceStopped, log.InfoLevel, "service stopped", "A named part has ended after finishing what was in flight."},
-	{ServiceFailed, log.ErrorLevel, "service failed", "A named part ended with an error; the whole process stops in order."},
-	{StopBegan, log.InfoLevel, "stop began", "The process was asked to stop and drains."},
-	{StopTimedOut, log.ErrorLevel, "stop timed out", "A part did not end within the stop limit and was left."},
-	{ProcessStarted, log.InfoLevel, "process started", "The process has read its settings and begins to work."},
-	{ProcessStopped, log.InfoLevel, "process stopped", "The process has ended in order."},
+	{ServiceStarted, log.InfoLevel, "service started", "A service of the process is up; the services that need it start next."},
+	{ServiceStopped, log.InfoLevel, "service stopped", "A service has ended after finishing its work in flight."},
+	{ServiceFailed, log.ErrorLevel, "service failed", "A service ended with an error; the whole process shuts down gracefully."},
+	{StopBegan, log.InfoLevel, "shutdown started", "The process was asked to stop, or a service failed; it drains."},
+	{StopTimedOut, log.ErrorLevel, "service stop timed out", "A service did not end within the stop limit and was abandoned."},
+	{ProcessStarted, log.InfoLevel, "process started", "The process has read its settings and starts its services."},
+	{ProcessStopped, log.InfoLevel, "process stopped", "The process has shut down gracefully."},
 	{SettingsReloaded, log.InfoLevel, "settings reloaded", "The settings file has changed; the keys say what, and whether it is in force without a restart."},
-	{SettingsRefused, log.ErrorLevel, "settings refused", "The settings file cannot be read or has faults; the settings before stay in force."},
+	{SettingsRefused, log.ErrorLevel, "settings refused", "The settings file can't be read or contains errors; the previous settings stay in force."},
 }
--- a/internal/kernel/reporter/catalogue_operator.go
+++ b/internal/kernel/reporter/catalogue_operator.go
@@ -8,5 +8,5 @@
 )
 
 var operatorDefinitions = []Definition{
-	{OperatorChangeRefused, log.WarnLevel, "operator change not accepted", "A change of the fleet got another answer than done; outcome tells which, and whether it is known that nothing changed."},
+	{OperatorChangeRefused, log.WarnLevel, "operator change not accepted", "A change of the fleet was not confirmed as done; outcome says how it ended and whether it is certain that nothing changed."},
 }
--- a/internal/kernel/reporter/catalogue_platform.go
+++ b/internal/kernel/reporter/catalogue_platform.go
@@ -12,7 +12,7 @@
 
 var platformDefinitions = []Definition{
 	{RegistrationFailed, log.WarnLevel, "registration failed", "The entry could not write or renew its address in the store; others still find it through the entries that they know."},
-	{Listening, log.InfoLevel, "listening", "A listener of the process is open at the address given."},
-	{LeaveNotTold, log.WarnLevel, "leave not told", "A stopping agent could not tell the cell's owner; the owner sees it when the session goes silent."},
-	{HandOverNotDone, log.WarnLevel, "hand-over not done", "A stopping owner of a cell could not give it up in order, as when the store is away; another entry takes it when the lease has run out."},
+	{Listening, log.InfoLevel, "listening", "A listener of the process is open at the given address."},
+	{LeaveNotTold, log.WarnLevel, "leave not reported", "A stopping agent could not notify the cell's owner; the owner notices when the session times out."},
+	{HandOverNotDone, log.WarnLevel, "hand-over failed", "A stopping owner could not hand over its cell, for example because the store is unreachable; another entry takes over when the lease has expired."},
 }
--- a/internal/kernel/reporter/catalogue_runner.go
+++ b/internal/kernel/reporter/catalogue_runner.go
@@ -2,7 +2,7 @@
 
 import "github.com/apex/log"
 
-// Events of the agent's part for tasks, numbered from 650.
+// Events of the area "agent" about tasks, numbered from 670.
 const (
 	RunnerSessionOpened Code = 670 + iota
 	RunnerSessionLost
@@ -13,8 +13,8 @@
 
 var runnerDefinitions = []Definition{
 	{RunnerSessionOpened, log.InfoLevel, "session with owner opened", "The owner of the cell renews the lease of this VM."},
-	{RunnerSessionLost, log.WarnLevel, "session with owner lost", "No owner answers; tasks run on until their lease ends."},
-	{RunnerOrderRefused, log.InfoLevel, "order refused", "The agent did not start a task; the reason tells why. The attempt can't start any more."},
-	{RunnerWorkerAway, log.WarnLevel, "worker away", "The worker of this VM does not answer its agent."},
-	{RunnerReplyRefused, log.WarnLevel, "reply of an earlier owner refused", "A process that no longer owns the cell answered; nothing was done."},
+	{RunnerSessionLost, log.WarnLevel, "session with owner lost", "No owner answers; tasks keep running until their lease ends."},
+	{RunnerOrderRefused, log.InfoLevel, "order refused", "The agent did not start a task; the reason says why. The attempt can't start any more."},
+	{RunnerWorkerAway, log.WarnLevel, "worker not responding", "The worker of this VM does not answer its agent."},
+	{RunnerReplyRefused, log.WarnLevel, "reply of an earlier owner refused", "A process that no longer owns the cell answered; its reply was ignored."},
 }
--- a/internal/kernel/reporter/catalogue_test.go
+++ b/internal/kernel/reporter/catalogue_test.go
@@ -16,21 +16,21 @@
 
 const eventsPage = "../../../docs/EVENTS.md"
 
-// areas are the hundreds of the codes.
+// areas[i] is the name of the area of the codes from 100*(i+1).
 var areas = []string{"kernel", "platform", "fleet", "request", "control", "agent", "operator", "stand-in", "job"}
 
 // TestEventsPage compares docs/EVENTS.md with the catalogue. UPDATE_DOCS=1
-// writes the page anew.
+// regenerates the page.
 func TestEventsPage(t *testing.T) {
 	var b strings.Builder
-	b.WriteString("# Events\n\nEvery line that a process logs carries the number of its event in the field\n" +
-		"`event`. Decisions of a cell, as `bamboospread events` and `explain` show them,\n" +
-		"carry the same numbers. Made from the catalogue by\n`UPDATE_DOCS=1 go test ./internal/kernel/reporter`.\n")
+	b.WriteString("# Events\n\nEvery log line of a process has the number of its event in the field\n" +
+		"`event`. Decisions of a cell, as shown by `bamboospread events` and `explain`,\n" +
+		"have the same numbers. Generated from the catalogue by\n`UPDATE_DOCS=1 go test ./internal/kernel/reporter`.\n")
 	area := 0
 	for _, d := range Catalogue() {
-		if hundred := int(d.Code) / 100; hundred != area {
-			area = hundred
-			fmt.Fprintf(&b, "\n## %d00 %s\n\n| Event | Level | Message | What to make of it |\n|---|---|---|---|\n", area, areas[area-1])
+		if next := int(d.Code) / 100; next != area {
+			area = next
+			fmt.Fprintf(&b, "\n## %d00 %s\n\n| Event | Level | Message | Meaning |\n|---|---|---|---|\n", area, areas[area-1])
 		}
 		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", d.Code, d.Level, d.Message, d.Meaning)
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestCatalogueIsWhole checks that each definition is complete and each constant
-// of the catalogue files has one, so that no event is logged as undefined.
-func TestCatalogueIsWhole(t *testing.T) {
+// TestCatalogueIsComplete checks that each definition is complete and that each
+// constant in the catalogue files has one, so that no event is logged as undefined.
+func TestCatalogueIsComplete(t *testing.T) {
 	for _, d := range Catalogue() {
 		if d.Message == "" || d.Meaning == "" || d.Code < 100 || int(d.Code) >= 100*(len(areas)+1) {
 			t.Errorf("definition %+v", d)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestEveryEventIsUsed checks that each constant of the catalogue is named
-// somewhere outside of it: an event that nothing logs misleads operators.
+// TestEveryEventIsUsed checks that each constant of the catalogue is used outside
+// it: an event that is never logged misleads operators.
 func TestEveryEventIsUsed(t *testing.T) {
 	names := codeNames(t)
 	err := filepath.WalkDir("../../..", func(path string, d os.DirEntry, err error) error {
@@ -96,7 +96,7 @@
 	}
 }
 
-// codeNames returns the names of the constants in the catalogue files.
+// codeNames returns the names of the event constants in the catalogue files.
 func codeNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := make(map[string]bool)
@@ -110,7 +110,7 @@
 	return names
 }
 
-// definedNames returns the names that stand first in a definition.
+// definedNames returns the names of the constants that have a definition.
 func definedNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := make(map[string]bool)
@@ -129,6 +129,7 @@
 	return names
 }
 
+// eachDeclaration calls do for each declaration of the given kind in the catalogue files.
 func eachDeclaration(t *testing.T, kind token.Token, do func(*ast.ValueSpec)) {
 	t.Helper()
 	files, err := filepath.Glob("catalogue_*.go")
--- a/internal/kernel/reporter/reporter.go
+++ b/internal/kernel/reporter/reporter.go
@@ -1,6 +1,6 @@
 // Package reporter writes numbered log events. Every event that the program
-// can log stands in the catalogue, so that operators can look a number up in
-// docs/EVENTS.md and alert on it without matching texts.
+// can log is defined in the catalogue, so that operators can look up its number
+// in docs/EVENTS.md and alert on it without matching message texts.
 package reporter
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/apex/log/handlers/logfmt"
 )
 
-// Code is the number of an event. Hundreds tell the area: 1 kernel,
+// Code is the number of an event. Its hundreds digit is the area: 1 kernel,
 // 2 platform, 3 fleet, 4 request, 5 control, 6 agent, 7 operator, 8 stand-in, 9 job.
 type Code int
 
-// Definition is one line of the catalogue.
+// Definition is an entry of the catalogue.
 type Definition struct {
 	Code    Code
 	Level   log.Level
 	Message string // constant text of the event
-	Meaning string // what an operator should make of it, for docs/EVENTS.md
+	Meaning string // explanation for operators, for docs/EVENTS.md
 }
 
-// Fields are the values that an event carries, named in kebab case.
+// Fields are the values of an event; their keys are in kebab case.
 type Fields map[string]any
 
 // Config holds the settings of a Reporter.
@@ -45,7 +45,7 @@
 	now   func() time.Time
 }
 
-// New returns a Reporter, or an error that names the setting that is wrong.
+// New returns a Reporter, or an error that names the invalid setting.
 func New(c Config) (*Reporter, error) {
 	level, err := log.ParseLevel(c.Level)
 	if err != nil {
@@ -68,9 +68,9 @@
 	return &Reporter{entry: entry, now: c.Now}, nil
 }
 
-// lineWriter hands whole lines on. The handler writes a line field by field, and what a
-// writer drops or others write in between would then tear lines apart. The handler's lock
-// is held over the fields of a line.
+// lineWriter buffers the output of the handler and passes on whole lines. The handler writes
+// a line field by field, so a writer that drops data or receives other writes in between
+// would break lines up. The handler holds its lock for all fields of a line.
 type lineWriter struct {
 	out  io.Writer
 	line []byte
@@ -93,13 +93,13 @@
 }
 
 // Report writes the event with the given code. A code without a definition is
-// written as an error, so that it shows in tests and is not lost in use.
+// logged as an error, so that tests detect it and the event is not lost in production.
 func (r *Reporter) Report(code Code, fields Fields) {
 	def, ok := definitions[code]
 	if !ok {
 		def = Definition{Code: code, Level: log.ErrorLevel, Message: "event without a definition"}
 	}
-	all := make(log.Fields, len(fields)+1) // at once: each WithField copies the fields before it
+	all := make(log.Fields, len(fields)+1) // set together: each WithField copies all previous fields
 	for k, v := range fields {
 		all[k] = v
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// Catalogue returns all definitions in the order of their codes.
+// Catalogue returns all definitions, sorted by code.
 func Catalogue() []Definition {
 	all := make([]Definition, 0, len(definitions))
 	for _, d := range definitions {
@@ -127,17 +127,17 @@
 	return all
 }
 
-var definitions = index(
+var definitions = indexByCode(
 	kernelDefinitions, platformDefinitions, fleetDefinitions,
 	requestDefinitions, controlDefinitions, agentDefinitions, agentRequestDefinitions,
 	runnerDefinitions, operatorDefinitions, standinDefinitions, jobDefinitions,
 )
 
-func index(groups ...[]Definition) map[Code]Definition {
+func indexByCode(groups ...[]Definition) map[Code]Definition {
 	m := make(map[Code]Definition)
 	for _, g := range groups {
 		for _, d := range g {
-			if _, twice := m[d.Code]; twice {
+			if _, duplicate := m[d.Code]; duplicate {
 				panic(fmt.Sprintf("event %d is defined twice", d.Code))
 			}
 			m[d.Code] = d
--- a/internal/kernel/reporter/reporter_test.go
+++ b/internal/kernel/reporter/reporter_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// writes keeps what is written at a time.
-type writes []string
+// recordedWrites records the data of each Write call.
+type recordedWrites []string
 
-func (w *writes) Write(p []byte) (int, error) {
+func (w *recordedWrites) Write(p []byte) (int, error) {
 	*w = append(*w, string(p))
 	return len(p), nil
 }
 
-// Guards against lines that are torn apart: a writer that drops what it has no room for, or
-// takes other lines in between, got them field by field.
-func TestALineIsWrittenAtOnce(t *testing.T) {
+// Guards against broken lines: when a line is written field by field, a writer that drops data
+// for lack of space or receives other lines in between breaks it up.
+func TestLineIsWrittenInOneCall(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		t.Run(format, func(t *testing.T) {
-			var out writes
+			var out recordedWrites
 			r, err := New(Config{Writer: &out, Format: format, Level: "info", Role: "entry", Name: "entry-1"})
 			if err != nil {
 				t.Fatal(err)
