--- a/internal/wire/abridger/abridger.go
+++ b/internal/wire/abridger/abridger.go
@@ -56,17 +56,17 @@
 		case !ok || !sameButFigures(before, r):
 			short.Runs = append(short.Runs, r)
 		case before.Progress != r.Progress || before.Measure != r.Measure:
-			short.Figures = append(short.Figures, [3]int64{r.ID, int64(r.Progress), r.Measure})
+			short.Updates = append(short.Updates, [3]int64{r.ID, int64(r.Progress), r.Measure})
 		}
 		a.told[key] = r
 	}
 	for key, r := range a.told {
 		if !listed[key] {
-			short.Gone = append(short.Gone, r.ID)
+			short.Removed = append(short.Removed, r.ID)
 			delete(a.told, key)
 		}
 	}
-	slices.Sort(short.Gone)
+	slices.Sort(short.Removed)
 	return short
 }
 
@@ -116,7 +116,7 @@
 	for _, told := range short.Runs {
 		r.known[told.ID] = told
 	}
-	for _, f := range short.Figures {
+	for _, f := range short.Updates {
 		known, ok := r.known[f[0]]
 		if !ok {
 			return short, ErrUnknownRun{f[0]}
@@ -124,14 +124,14 @@
 		known.Progress, known.Measure = int(f[1]), f[2]
 		r.known[f[0]] = known
 	}
-	for _, id := range short.Gone {
+	for _, id := range short.Removed {
 		if _, ok := r.known[id]; !ok {
 			return short, ErrUnknownRun{id}
 		}
 		delete(r.known, id)
 	}
 	whole := short
-	whole.Abridged, whole.Part, whole.Figures, whole.Gone, whole.Runs = false, 0, nil, nil, nil
+	whole.Abridged, whole.Part, whole.Updates, whole.Removed, whole.Runs = false, 0, nil, nil, nil
 	for _, known := range r.known {
 		whole.Runs = append(whole.Runs, known)
 	}
--- a/internal/wire/messenger/cell.go
+++ b/internal/wire/messenger/cell.go
@@ -9,48 +9,48 @@
 // TaskState is the state of a task in its cell.
 type TaskState string
 
-// States of a task. Starting, Running and Stopping hold resources of a VM.
+// States of a task. Starting, running and stopping tasks hold resources of a VM.
 const (
 	TaskQueued    TaskState = "queued"
-	TaskStarting  TaskState = "starting"  // start is journalled, not yet confirmed
+	TaskStarting  TaskState = "starting"  // start is journalled but not yet confirmed
 	TaskRunning   TaskState = "running"   // confirmed by the agent
 	TaskStopping  TaskState = "stopping"  // eviction or cancellation is journalled
 	TaskCompleted TaskState = "completed" // final
 	TaskCancelled TaskState = "cancelled" // final
-	TaskHeld      TaskState = "held"      // can't run; Reason tells why
+	TaskHeld      TaskState = "held"      // can't run; Reason says why
 )
 
 // TaskSpec is what a tenant submits.
 type TaskSpec struct {
-	ID     string              `json:"id"` // chosen by the submitter or the entry; submitting it again is harmless
+	ID     string              `json:"id"` // set by the submitter or the entry; submitting it again has no effect
 	Tenant string              `json:"tenant"`
 	Class  string              `json:"class"`
-	Needs  describer.Resources `json:"needs"` // zero: those of the class
-	// RunTime is declared and may be far off; zero: that of the class.
+	Needs  describer.Resources `json:"needs"` // zero: the needs of the class
+	// RunTimeMillis is an estimate and may be far off; zero: the run time of the class.
 	RunTimeMillis int64  `json:"run-time-ms,omitempty"`
 	Urgent        bool   `json:"urgent,omitempty"`
-	Payload       string `json:"payload,omitempty"` // passed to the worker as it is
+	Payload       string `json:"payload,omitempty"` // passed to the worker unchanged
 	// Service names the service of which this task is a replica; empty for a
-	// batch task. A replica has no end of its own.
+	// batch task. A replica runs until it is stopped.
 	Service string `json:"service,omitempty"`
 }
 
-// OrderKind tells an agent what to do with a task.
+// OrderKind is the action of an order.
 type OrderKind string
 
 // Kinds of orders.
 const (
 	OrderStart      OrderKind = "start"
-	OrderStop       OrderKind = "stop"       // end now; used for cancellations
-	OrderCheckpoint OrderKind = "checkpoint" // checkpoint, then end; used for moves
-	OrderThrottle   OrderKind = "throttle"   // run at Percent of the processors
+	OrderStop       OrderKind = "stop"       // end immediately; used for cancellations
+	OrderCheckpoint OrderKind = "checkpoint" // write a checkpoint, then end; used for moves
+	OrderThrottle   OrderKind = "throttle"   // run at Percent of the processor share
 )
 
-// Order is a journalled decision on its way to an agent.
+// Order is a journalled decision that is sent to an agent.
 type Order struct {
 	Kind       OrderKind           `json:"kind"`
 	TaskID     string              `json:"task-id"`
-	Attempt    int64               `json:"attempt"` // rises with each start of the task, over all VMs
+	Attempt    int64               `json:"attempt"` // increases with each start of the task, across all VMs
 	Epoch      int64               `json:"epoch"`
 	Needs      describer.Resources `json:"needs"`
 	Class      string              `json:"class,omitempty"`
@@ -60,58 +60,58 @@
 	RunTime    int64               `json:"run-time-ms,omitempty"`
 	Checkpoint string              `json:"checkpoint,omitempty"` // to resume from
 	Percent    int                 `json:"percent,omitempty"`    // with throttle: 1 to 100
-	// VoidAfterMillis counts from the moment at which the agent sent the poll
-	// that this order answers; a start is refused later than that.
+	// VoidAfterMillis is the time after which a start is refused, counted from
+	// when the agent sent the poll that this order answers.
 	VoidAfterMillis int64 `json:"void-after-ms,omitempty"`
 }
 
-// ReportState is how an agent describes an attempt.
+// ReportState is the state of an attempt as reported by its agent.
 type ReportState string
 
-// States of an attempt. All but Running are repeated until acknowledged.
+// States of an attempt. All but ReportRunning are repeated until acknowledged.
 const (
 	ReportRunning   ReportState = "running"
 	ReportCompleted ReportState = "completed"
-	ReportFailed    ReportState = "failed"  // ended by itself with an error
-	ReportStopped   ReportState = "stopped" // ended on order, Checkpoint may be set
-	ReportRefused   ReportState = "refused" // never started; tombstone kept
-	ReportLost      ReportState = "lost"    // lease ran out or VM restarted; not running any more
+	ReportFailed    ReportState = "failed"  // ended with an error, without an order
+	ReportStopped   ReportState = "stopped" // ended by an order; Checkpoint may be set
+	ReportRefused   ReportState = "refused" // never started; the agent keeps a tombstone
+	ReportLost      ReportState = "lost"    // lease expired or VM restarted; no longer running
 )
 
-// TaskReport tells the owner about one attempt.
+// TaskReport reports the state of one attempt to the owner.
 type TaskReport struct {
 	TaskID     string              `json:"task-id"`
 	Attempt    int64               `json:"attempt"`
 	State      ReportState         `json:"state"`
 	Reason     string              `json:"reason,omitempty"`
-	Checkpoint string              `json:"checkpoint,omitempty"` // latest
+	Checkpoint string              `json:"checkpoint,omitempty"` // latest one
 	Needs      describer.Resources `json:"needs,omitzero"`
 	Class      string              `json:"class,omitempty"`
 	Tenant     string              `json:"tenant,omitempty"`
 	Service    string              `json:"service,omitempty"`
-	Percent    int                 `json:"percent,omitempty"` // of the processors at which it runs; 0: the worker does not tell
+	Percent    int                 `json:"percent,omitempty"` // of the processor share at which it runs; 0: not reported by the worker
 }
 
-// Usage is a measurement of the VM over a past window.
+// Usage is the resource usage of a VM, measured over a past window.
 type Usage struct {
-	FromMillis    int64         `json:"from-ms"` // window, Unix time in ms on the VM's clock
+	FromMillis    int64         `json:"from-ms"` // window, Unix time in ms by the VM's clock
 	ToMillis      int64         `json:"to-ms"`
 	Tasks         []TaskUsage   `json:"tasks,omitempty"`
 	Services      []ServiceLoad `json:"services,omitempty"`
 	MillicoresAll int64         `json:"millicores-all"`
 }
 
-// TaskUsage is the use of one task within the window.
+// TaskUsage is the resource usage of one task within the window.
 type TaskUsage struct {
 	TaskID      string `json:"task-id"`
 	Millicores  int64  `json:"millicores"`
 	MemoryBytes int64  `json:"memory-bytes"`
-	// ProgressPermille is the work done in the window, in thousandths of what
-	// an undisturbed VM would have done.
+	// ProgressPermille is the work done in the window, in thousandths of the work
+	// that would have been done without interference.
 	ProgressPermille int64 `json:"progress-permille"`
 }
 
-// ServiceLoad is what the agent measured of a local upstream in the window.
+// ServiceLoad is the load of a local upstream, measured by the agent in the window.
 type ServiceLoad struct {
 	Service    string `json:"service"`
 	Requests   int64  `json:"requests"`
@@ -119,59 +119,59 @@
 	P99Micros  int64  `json:"p99-us"`
 }
 
-// Poll renews the session of a VM with the owner of its cell, reports, and
-// waits for orders.
+// Poll renews the session of a VM with the owner of its cell, reports the state
+// of the VM and waits for orders.
 type Poll struct {
 	Cell        string       `json:"cell"`
 	AgentID     string       `json:"agent-id"`
 	Incarnation int64        `json:"incarnation"`
-	Epoch       int64        `json:"epoch"` // highest that the agent has seen
+	Epoch       int64        `json:"epoch"` // highest epoch that the agent has seen
 	Sequence    int64        `json:"sequence"`
 	Capacity    Capacity     `json:"capacity"`
-	Upstreams   []Upstream   `json:"upstreams,omitempty"` // their services' needs are committed on the VM
-	Tasks       []TaskReport `json:"tasks,omitempty"`     // every attempt that runs or awaits acknowledgement
+	Upstreams   []Upstream   `json:"upstreams,omitempty"` // the needs of their services are committed on the VM
+	Tasks       []TaskReport `json:"tasks,omitempty"`     // every attempt that is running or awaits acknowledgement
 	Usage       *Usage       `json:"usage,omitempty"`
-	Leaving     bool         `json:"leaving,omitempty"` // the agent drains
-	WaitMillis  int64        `json:"wait-ms"`           // how long the owner may hold the answer
+	Leaving     bool         `json:"leaving,omitempty"` // the agent is draining
+	WaitMillis  int64        `json:"wait-ms"`           // how long the owner may delay the answer
 }
 
-// TaskAttempt names one attempt of a task.
+// TaskAttempt identifies one attempt of a task.
 type TaskAttempt struct {
 	TaskID  string `json:"task-id"`
 	Attempt int64  `json:"attempt"`
 }
 
-// PollReply renews the lease of the VM and carries orders.
+// PollReply renews the lease of the VM and contains orders.
 type PollReply struct {
 	Epoch       int64         `json:"epoch"`
 	EntryID     string        `json:"entry-id"`
-	LeaseMillis int64         `json:"lease-ms"` // counts from when the agent sent the poll
-	Outage      bool          `json:"outage"`   // the lease is the longer one for store outages
+	LeaseMillis int64         `json:"lease-ms"` // counted from when the agent sent the poll
+	Outage      bool          `json:"outage"`   // the lease is the longer one used during store outages
 	Orders      []Order       `json:"orders,omitempty"`
 	Acked       []TaskAttempt `json:"acked,omitempty"` // final reports that are journalled
 	ZonesOut    []string      `json:"zones-out,omitempty"`
 }
 
-// SubmitRequest submits tasks to a cell; each is accepted or refused alone.
+// SubmitRequest submits tasks to a cell; each is accepted or refused individually.
 type SubmitRequest struct {
 	Cell  string     `json:"cell"`
 	Tasks []TaskSpec `json:"tasks"`
 }
 
-// SubmitReply holds a verdict for each task, in order.
+// SubmitReply contains the result of each task, in the order of the request.
 type SubmitReply struct {
 	Verdicts []SubmitVerdict `json:"verdicts"`
 }
 
-// SubmitVerdict tells whether a task is journalled.
+// SubmitVerdict is the result of submitting a task; an accepted task is journalled.
 type SubmitVerdict struct {
 	ID       string    `json:"id"`
 	Accepted bool      `json:"accepted"`
 	State    TaskState `json:"state,omitempty"`
-	Reason   string    `json:"reason,omitempty"` // of a refusal, or why it is held
+	Reason   string    `json:"reason,omitempty"` // why it is refused or held
 }
 
-// CancelRequest cancels tasks by id, or all of a tenant and class.
+// CancelRequest cancels tasks by id, or all tasks of a tenant and class.
 type CancelRequest struct {
 	Cell   string   `json:"cell"`
 	IDs    []string `json:"ids,omitempty"`
@@ -179,7 +179,7 @@
 	Class  string   `json:"class,omitempty"`
 }
 
-// CancelReply counts what was cancelled and lists ids that do not exist.
+// CancelReply contains the number of cancelled tasks and the ids that do not exist.
 type CancelReply struct {
 	Cancelled int      `json:"cancelled"`
 	Unknown   []string `json:"unknown,omitempty"`
@@ -196,12 +196,12 @@
 	Limit  int       `json:"limit,omitempty"` // 0: 1000
 }
 
-// FindTasksReply lists tasks in the order of their submission.
+// FindTasksReply lists tasks in the order of submission.
 type FindTasksReply struct {
 	Tasks []Task `json:"tasks"`
 }
 
-// Task is what operators see of a task.
+// Task is a task as shown to operators.
 type Task struct {
 	Spec       TaskSpec  `json:"spec"`
 	State      TaskState `json:"state"`
@@ -221,7 +221,7 @@
 	Cell string `json:"cell"`
 }
 
-// Status is the state of a cell at a glance.
+// Status is a summary of the state of a cell.
 type Status struct {
 	Cell         string            `json:"cell"`
 	Owner        string            `json:"owner"`
@@ -254,20 +254,20 @@
 	Tasks int                 `json:"tasks"`
 }
 
-// ExplainRequest asks for the story of a task, VM or service.
+// ExplainRequest asks for the decisions about a task, VM or service.
 type ExplainRequest struct {
 	Cell string `json:"cell"`
 	Kind string `json:"kind"` // "task", "vm" or "service"
 	Name string `json:"name"`
 }
 
-// ExplainReply tells the story as decisions, oldest first.
+// ExplainReply contains a summary and the decisions, oldest first.
 type ExplainReply struct {
 	Summary   string     `json:"summary"`
 	Decisions []Decision `json:"decisions"`
 }
 
-// EventsRequest asks for decisions with numbers above Above.
+// EventsRequest asks for decisions with a number above Above.
 type EventsRequest struct {
 	Cell  string `json:"cell"`
 	Above int64  `json:"above"`
@@ -279,9 +279,9 @@
 	Decisions []Decision `json:"decisions"`
 }
 
-// Decision is a numbered event of the cell with its inputs and reason.
+// Decision is a numbered decision of the cell with its inputs and reason.
 type Decision struct {
-	Number  int64             `json:"number"` // rises by one in the cell
+	Number  int64             `json:"number"` // increases by one with each decision of the cell
 	Code    int               `json:"code"`   // event code, see docs/EVENTS.md
 	Time    time.Time         `json:"time"`
 	Epoch   int64             `json:"epoch"`
--- a/internal/wire/messenger/header.go
+++ b/internal/wire/messenger/header.go
@@ -5,37 +5,37 @@
 	"strings"
 )
 
-// PackHeader returns a header that JSON carries unchanged. HTTP allows bytes in
-// values that are no UTF-8, and JSON would replace them: a caller would get
-// another header than the upstream sent. Each byte above ASCII travels as the
-// character of that number; UnpackHeader turns it back. The header is returned
-// as it is if it has none.
-func PackHeader(h http.Header) http.Header { return convert(h, packValue) }
+// PackHeader returns a header that JSON preserves unchanged. HTTP allows header
+// values that are not valid UTF-8; JSON would replace such bytes, and the caller
+// would get a different header than the upstream sent. Each non-ASCII byte is
+// encoded as the Unicode code point of the same value; UnpackHeader decodes it.
+// A header without non-ASCII bytes is returned unchanged.
+func PackHeader(h http.Header) http.Header { return convertValues(h, packValue) }
 
-// UnpackHeader undoes PackHeader. Characters that PackHeader does not make are
-// dropped.
-func UnpackHeader(h http.Header) http.Header { return convert(h, unpackValue) }
+// UnpackHeader reverses PackHeader. Characters that PackHeader does not produce
+// are dropped.
+func UnpackHeader(h http.Header) http.Header { return convertValues(h, unpackValue) }
 
-func convert(h http.Header, value func(string) string) http.Header {
-	plain := true
+func convertValues(h http.Header, convert func(string) string) http.Header {
+	ascii := true
 	for _, values := range h {
 		for _, v := range values {
-			plain = plain && IsASCII(v)
+			ascii = ascii && IsASCII(v)
 		}
 	}
-	if plain {
+	if ascii {
 		return h
 	}
 	converted := make(http.Header, len(h))
 	for name, values := range h {
 		for _, v := range values {
-			converted[name] = append(converted[name], value(v))
+			converted[name] = append(converted[name], convert(v))
 		}
 	}
 	return converted
 }
 
-// IsASCII tells whether s has no byte above 127.
+// IsASCII reports whether s has no byte above 127.
 func IsASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] > maxASCII {
--- a/internal/wire/messenger/header_test.go
+++ b/internal/wire/messenger/header_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestHeaderTravelsUnchanged sends header values of any bytes as JSON does: what
-// arrives must be what was sent, byte by byte.
-func TestHeaderTravelsUnchanged(t *testing.T) {
+// TestPackedHeaderSurvivesJSON encodes header values of arbitrary bytes as JSON: the
+// decoded values must be equal byte by byte.
+func TestPackedHeaderSurvivesJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := make(http.Header)
 		for _, v := range rapid.SliceOf(rapid.SliceOf(rapid.Byte())).Draw(t, "values") {
@@ -21,11 +21,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var carried http.Header
-		if err := json.Unmarshal(data, &carried); err != nil {
+		var decoded http.Header
+		if err := json.Unmarshal(data, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(sent, UnpackHeader(carried)); diff != "" {
+		if diff := cmp.Diff(sent, UnpackHeader(decoded)); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/wire/messenger/messenger.go
+++ b/internal/wire/messenger/messenger.go
@@ -1,7 +1,7 @@
 // Package messenger defines the messages between the processes of bamboospread:
-// JSON-RPC 2.0 over TCP with varint-framed JSON objects. Agents dial entries,
-// entries dial entries; requests then flow both ways on the same connection.
-// Durations travel as whole milliseconds, sizes as bytes.
+// JSON-RPC 2.0 over TCP with varint-framed JSON objects. Agents dial entries and
+// entries dial each other; calls are then made in both directions on the same
+// connection. Durations are in whole milliseconds, sizes in bytes.
 package messenger
 
 import (
@@ -11,7 +11,7 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// Names of the methods. The first part names the party that answers.
+// Names of the methods. The first part names the process that answers.
 const (
 	MethodAnnounce  = "entry/announce"  // agent to entry: Announce, AnnounceReply
 	MethodHeartbeat = "entry/heartbeat" // agent to entry: Heartbeat, AnnounceReply
@@ -31,17 +31,17 @@
 
 // Codes of JSON-RPC errors that callers act on.
 const (
-	CodeNotOwner    int64 = -32001 // the answering process does not own the cell
-	CodeUnavailable int64 = -32002 // nothing was done; ask again later
-	CodeUnknown     int64 = -32003 // whether it was done is not known; ask again with the same id
-	CodeBadRequest  int64 = -32004 // the request itself is wrong
+	CodeNotOwner    int64 = -32001 // the called process does not own the cell
+	CodeUnavailable int64 = -32002 // the call had no effect; retry later
+	CodeUnknown     int64 = -32003 // whether the call had an effect is unknown; retry with the same id
+	CodeBadRequest  int64 = -32004 // the request is invalid
 	CodeNotExist    int64 = -32005 // no such task, VM or service
 )
 
-// Empty is an answer without content.
+// Empty is a message without content.
 type Empty struct{}
 
-// CellOwner tells who owns a cell, as far as the sender knows.
+// CellOwner is the owner of a cell as known to the sender.
 type CellOwner struct {
 	Cell    string `json:"cell"`
 	Epoch   int64  `json:"epoch"`
@@ -49,23 +49,23 @@
 	Address string `json:"address"` // RPC address, host:port
 }
 
-// PeerAddress names an entry and its RPC address.
+// PeerAddress is an entry and its RPC address.
 type PeerAddress struct {
 	EntryID string `json:"entry-id"`
 	Address string `json:"address"`
 }
 
-// UpstreamState is the state of an upstream as its agent sees it.
+// UpstreamState is the state of an upstream as reported by its agent.
 type UpstreamState string
 
 // States of an upstream.
 const (
 	UpstreamReady   UpstreamState = "ready"
-	UpstreamLeaving UpstreamState = "leaving" // finishes what runs, takes nothing new
+	UpstreamLeaving UpstreamState = "leaving" // finishes running requests, takes no new ones
 	UpstreamDown    UpstreamState = "down"
 )
 
-// Upstream is one back-end process of a service beside an agent.
+// Upstream is a back-end process of a service, co-located with an agent.
 type Upstream struct {
 	ID          string        `json:"id"` // unique in the fleet
 	Service     string        `json:"service"`
@@ -78,72 +78,72 @@
 // Announce opens a session of an agent with an entry.
 type Announce struct {
 	AgentID     string     `json:"agent-id"`
-	Incarnation int64      `json:"incarnation"` // start time in ns; tells the processes of an agent apart
+	Incarnation int64      `json:"incarnation"` // start time in ns; distinguishes the processes of an agent
 	VM          string     `json:"vm"`
 	Zone        string     `json:"zone"`
 	Rack        string     `json:"rack"`
 	Upstreams   []Upstream `json:"upstreams"`
-	Sequence    int64      `json:"sequence"` // rises with each Announce and Heartbeat of the incarnation
+	Sequence    int64      `json:"sequence"` // increases with each Announce and Heartbeat of the incarnation
 }
 
-// Heartbeat renews the session and carries load and state. A changed state, such
-// as leaving, is sent at once and not at the next interval.
+// Heartbeat renews the session and reports load and state. A changed state, such
+// as leaving, is sent immediately and not at the next interval.
 type Heartbeat struct {
 	AgentID      string     `json:"agent-id"`
 	Incarnation  int64      `json:"incarnation"`
 	Sequence     int64      `json:"sequence"`
 	Upstreams    []Upstream `json:"upstreams"`
-	FleetVersion int64      `json:"fleet-version"` // highest that the agent holds
+	FleetVersion int64      `json:"fleet-version"` // highest version that the agent has
 }
 
-// AnnounceReply answers Announce, Heartbeat and PeersRequest with what the entry
-// knows of the rest of the system.
+// AnnounceReply answers Announce, Heartbeat and PeersRequest with the entry's view
+// of the rest of the system.
 type AnnounceReply struct {
 	EntryID      string        `json:"entry-id"`
-	Peers        []PeerAddress `json:"peers"` // all live entries, also the sender
+	Peers        []PeerAddress `json:"peers"` // all live entries, including the sender
 	Owners       []CellOwner   `json:"owners"`
 	FleetVersion int64         `json:"fleet-version"`
-	// Outstanding counts the attempts that the entry still awaits from the
-	// agent; an agent that leaves goes when it is zero.
+	// Outstanding is the number of attempts whose replies the entry still awaits
+	// from the agent; a leaving agent exits when it is zero.
 	Outstanding int `json:"outstanding,omitempty"`
 }
 
-// PeersRequest is sent between entries about once a second.
+// PeersRequest is exchanged between entries about once a second.
 type PeersRequest struct {
 	From         PeerAddress `json:"from"`
 	FleetVersion int64       `json:"fleet-version"`
 }
 
-// FleetRequest asks for the fleet record if it is newer than Above.
+// FleetRequest asks for the fleet record if its version is above Above.
 type FleetRequest struct {
 	Above int64 `json:"above"`
 }
 
-// FleetReply carries the stored fleet record, or an empty one.
+// FleetReply contains the stored fleet record, or an empty one.
 type FleetReply struct {
 	Version int64  `json:"version"`
-	Record  []byte `json:"record,omitempty"` // as kept in the store, see fleet/changer
+	Record  []byte `json:"record,omitempty"` // as stored, see fleet/changer
 }
 
-// Outcome tells a caller whether its request ran.
+// Outcome says whether a request ran.
 type Outcome string
 
-// Outcomes of a request. NotRun is only said by a party that knows it.
+// Outcomes of a request. OutcomeNotRun is only returned when it is certain.
 const (
 	OutcomeRun     Outcome = "run"
 	OutcomeNotRun  Outcome = "not-run"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reasons of a RunReply with NotRun that an entry acts on; others are texts for
-// people.
+// Reasons of a RunReply with OutcomeNotRun that an entry acts on; any other reason
+// is only informational.
 const (
 	ReasonFull    = "all slots of the upstream are taken"
 	ReasonLeaving = "the upstream is leaving"
 	ReasonGone    = "the upstream is not known to the agent"
 )
 
-// RunRequest carries one attempt of a caller's request to an upstream.
+// RunRequest is one attempt to run a caller's request at an upstream.
 type RunRequest struct {
 	RequestID     string      `json:"request-id"`
 	Attempt       int         `json:"attempt"`
@@ -151,25 +151,25 @@
 	Service       string      `json:"service"`
 	Tenant        string      `json:"tenant"`
 	Method        string      `json:"method"`
-	Path          string      `json:"path"` // with query
+	Path          string      `json:"path"` // including the query
 	Header        http.Header `json:"header,omitempty"`
 	Body          []byte      `json:"body,omitempty"`
-	TimeoutMillis int64       `json:"timeout-ms"` // time left of the caller's deadline
+	TimeoutMillis int64       `json:"timeout-ms"` // time left until the caller's deadline
 }
 
-// RunReply answers a RunRequest. Header, Body and Status count only with
+// RunReply answers a RunRequest. Header, Body and Status are only valid with
 // OutcomeRun.
 type RunReply struct {
 	RequestID        string      `json:"request-id"`
 	Attempt          int         `json:"attempt"`
 	Outcome          Outcome     `json:"outcome"`
-	Reason           string      `json:"reason,omitempty"` // with NotRun and Unknown
+	Reason           string      `json:"reason,omitempty"` // with OutcomeNotRun and OutcomeUnknown
 	Status           int         `json:"status,omitempty"`
 	Header           http.Header `json:"header,omitempty"`
 	Body             []byte      `json:"body,omitempty"`
 	BodyLength       int         `json:"body-length"`
 	RetryAfterMillis int64       `json:"retry-after-ms,omitempty"`
-	InFlight         int         `json:"in-flight"` // of the upstream, after this request
+	InFlight         int         `json:"in-flight"` // requests at the upstream after this one
 }
 
 // ClaimRequest asks the owner for the right to run a keyed request.
@@ -178,19 +178,19 @@
 	Tenant    string `json:"tenant"`
 	Service   string `json:"service"`
 	Key       string `json:"key"`        // the caller's Idempotency-Key
-	Digest    string `json:"digest"`     // of method, path and body: the same key with another digest is an error
-	RequestID string `json:"request-id"` // of the claiming request; claiming again with it is granted again
+	Digest    string `json:"digest"`     // of method, path and body; the same key with a different digest is an error
+	RequestID string `json:"request-id"` // of the claiming request; a repeated claim with the same id is granted again
 }
 
-// ClaimState tells what is known of a keyed request.
+// ClaimState is the state of the claim to a keyed request.
 type ClaimState string
 
 // States of a claim.
 const (
-	ClaimGranted  ClaimState = "granted"  // the asker may run it
-	ClaimHeld     ClaimState = "held"     // another request runs it, or died doing so: outcome unknown
-	ClaimSettled  ClaimState = "settled"  // it ran; the answer is attached if it was small enough
-	ClaimMismatch ClaimState = "mismatch" // the key was used for another request
+	ClaimGranted  ClaimState = "granted"  // the claiming request may run
+	ClaimHeld     ClaimState = "held"     // another request is running, or failed while running: outcome unknown
+	ClaimSettled  ClaimState = "settled"  // the request ran; the answer is attached if it was small enough
+	ClaimMismatch ClaimState = "mismatch" // the key was used for a different request
 )
 
 // ClaimReply answers a ClaimRequest.
@@ -199,16 +199,17 @@
 	Answer *KeptAnswer `json:"answer,omitempty"`
 }
 
-// KeptAnswer is the answer of a keyed request, kept for repeats.
+// KeptAnswer is the answer to a keyed request, kept for repeats.
 type KeptAnswer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
-	Whole  bool        `json:"whole"` // false: the body was too large to be kept
+	Whole  bool        `json:"whole"` // false: the body was too large to keep
 }
 
-// SettleRequest tells the owner how a claimed request ended. NotRun frees the
-// claim, Run keeps the answer, Unknown leaves it held for good.
+// SettleRequest reports the outcome of a claimed request to the owner. OutcomeNotRun
+// releases the claim, OutcomeRun keeps the answer, OutcomeUnknown leaves the claim
+// held permanently.
 type SettleRequest struct {
 	Cell      string      `json:"cell"`
 	Tenant    string      `json:"tenant"`
@@ -219,7 +220,7 @@
 }
 
 // Millis returns d in whole milliseconds, rounded up, so that a short positive
-// time does not become none.
+// duration does not become zero.
 func Millis(d time.Duration) int64 {
 	if d <= 0 {
 		return 0
@@ -230,7 +231,7 @@
 // FromMillis returns the duration of ms milliseconds.
 func FromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Capacity describes a VM to the cell's owner.
+// Capacity is the location and size of a VM, as reported to the cell's owner.
 type Capacity struct {
 	VM    string              `json:"vm"`
 	Zone  string              `json:"zone"`
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -2,8 +2,8 @@
 
 import "bamboospread/internal/job/specifier"
 
-// Methods for jobs. An agent has one session with the owner of its cell: it sends
-// reports, and the owner sends orders on the same connection.
+// Methods for jobs. An agent has one session with the owner of its cell: the agent
+// sends reports, and the owner sends orders on the same connection.
 const (
 	MethodWorkReport  = "work/report"  // agent to owner: WorkReport, WorkReply
 	MethodWorkOrders  = "work/orders"  // owner to agent: WorkOrders, Empty
@@ -16,31 +16,31 @@
 	MethodWorkHello   = "work/hello"   // entry to owner: PeerAddress, WorkOwner
 )
 
-// WorkReport tells everything that an agent knows of its worker's runs.
+// WorkReport contains the full state of the runs of an agent's worker.
 type WorkReport struct {
 	VM         string     `json:"vm"`
-	Session    int64      `json:"session"`         // rises with each session of the agent
-	Process    int64      `json:"process"`         // names the agent's process; another one knows no order of before
+	Session    int64      `json:"session"`         // increases with each session of the agent
+	Process    int64      `json:"process"`         // identifies the agent's process; a new process has no record of earlier orders
 	Facts      *WorkFacts `json:"facts,omitempty"` // in the first report of a session
-	Life       string     `json:"life"`            // of the worker
+	Life       string     `json:"life"`            // incarnation of the worker
 	Ready      bool       `json:"ready"`
-	Granted    bool       `json:"granted"` // the agent holds a grant; without one it starts nothing
+	Granted    bool       `json:"granted"` // the agent has a grant; without one it starts nothing
 	OrdersSeen int64      `json:"orders-seen"`
-	AgeMillis  int64      `json:"age-ms"` // of what is told of the runs
+	AgeMillis  int64      `json:"age-ms"` // of the reported state of the runs
 	Runs       []WorkRun  `json:"runs,omitempty"`
 	Ends       []WorkEnd  `json:"ends,omitempty"`
-	// Doubts are starts that were not answered and that no look has shown yet: the worker
-	// may carry them out late, also in another life.
+	// Doubts are the unconfirmed starts: they were not answered and no status poll has shown
+	// the run yet. The worker may still carry them out, even in another incarnation.
 	Doubts []WorkDoubt `json:"doubts,omitempty"`
-	// An abridged report lists the runs that are new or have changed by more than their
-	// figures; wire/abridger restores the whole one.
+	// An abridged report lists only runs that are new or changed in more than progress and
+	// measure; wire/abridger restores the full report.
 	Abridged bool       `json:"abridged,omitempty"`
 	Part     int64      `json:"part,omitempty"`    // number of an abridged report in its session, from 1
-	Figures  [][3]int64 `json:"figures,omitempty"` // id, progress and measure of other runs whose figures have changed
-	Gone     []int64    `json:"gone,omitempty"`    // ids of runs that are listed no more
+	Updates  [][3]int64 `json:"figures,omitempty"` // id, progress and measure of other runs in which one of the two changed
+	Removed  []int64    `json:"gone,omitempty"`    // ids of runs that are no longer listed
 }
 
-// WorkFacts describe a VM.
+// WorkFacts describes a VM.
 type WorkFacts struct {
 	WorkerID string              `json:"worker-id,omitempty"`
 	Zone     string              `json:"zone"`
@@ -50,51 +50,51 @@
 	Capacity specifier.Resources `json:"capacity"`
 }
 
-// WorkRun is a run that the worker has or may still get.
+// WorkRun is a run that the worker has or may still start.
 type WorkRun struct {
-	ID         int64                `json:"id,omitempty"` // in the abridged reports of a session
+	ID         int64                `json:"id,omitempty"` // within the abridged reports of a session
 	Task       string               `json:"task"`
 	Run        int64                `json:"run"`
-	Confirmed  bool                 `json:"confirmed,omitempty"` // the worker has it
-	Stopping   bool                 `json:"stopping,omitempty"`  // the agent is stopping it
+	Confirmed  bool                 `json:"confirmed,omitempty"` // the worker has reported the run
+	Stopping   bool                 `json:"stopping,omitempty"`  // the agent is stopping the run
 	Checkpoint string               `json:"checkpoint,omitempty"`
 	Progress   int                  `json:"progress"` // percent
 	Measure    int64                `json:"measure"`
 	Needs      *specifier.Resources `json:"needs,omitempty"`
 }
 
-// WorkDoubt is a start that may still be carried out.
+// WorkDoubt is an unconfirmed start, which may still be carried out.
 type WorkDoubt struct {
 	Task      string `json:"task"`
 	Run       int64  `json:"run"`
 	AgeMillis int64  `json:"age-ms"` // since it was sent
 }
 
-// WorkEnd is a run that ended and whose end the owner has not stored yet.
+// WorkEnd is the end of a run that the owner has not stored yet.
 type WorkEnd struct {
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	How        string `json:"how"` // accountant.End
+	How        string `json:"how"` // an accountant.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// WorkReply answers a report. The agent may let its runs go on for GrantMillis,
+// WorkReply answers a report. The agent may keep its runs running for GrantMillis,
 // counted from when it sent the report.
 type WorkReply struct {
 	Epoch       int64 `json:"epoch"`
 	GrantMillis int64 `json:"grant-ms"`
-	EndsStored  int64 `json:"ends-stored"` // the worker may forget ends up to this number
-	GapMillis   int64 `json:"gap-ms"`      // between reports, at least
-	// Needs of the runs listed, in the answer to the first report of a session: an
-	// agent that was restarted does not know them.
+	EndsStored  int64 `json:"ends-stored"` // the worker may discard ends up to this number
+	GapMillis   int64 `json:"gap-ms"`      // minimum time between reports
+	// Needs are the needs of the listed runs, in the answer to the first report of a
+	// session: a restarted agent does not have them.
 	Needs []WorkRun `json:"needs,omitempty"`
-	// Doubts of earlier processes of the agent, in the same answer.
+	// Doubts are the unconfirmed starts of earlier processes of the agent, in the same answer.
 	Doubts  []WorkDoubt   `json:"doubts,omitempty"`
-	Entries []PeerAddress `json:"entries,omitempty"` // to ask for the owner when this one is lost
+	Entries []PeerAddress `json:"entries,omitempty"` // to query for the owner when this one is lost
 }
 
-// WorkOrderKind says what an order is.
+// WorkOrderKind is the action of an order.
 type WorkOrderKind string
 
 // Kinds of orders.
@@ -104,16 +104,16 @@
 	WorkPace  WorkOrderKind = "pace"
 )
 
-// WorkOrders are orders of one session, in the order of their numbers.
+// WorkOrders contains orders of one session, sorted by number.
 type WorkOrders struct {
 	Epoch      int64       `json:"epoch"`
 	Session    int64       `json:"session"`
 	EndsStored int64       `json:"ends-stored"`
-	Life       string      `json:"life"` // of the worker that they are meant for
+	Life       string      `json:"life"` // incarnation of the worker that they are intended for
 	Orders     []WorkOrder `json:"orders,omitempty"`
 }
 
-// WorkOrder is one order.
+// WorkOrder is an order about one run.
 type WorkOrder struct {
 	Seq        int64               `json:"seq"`
 	Kind       WorkOrderKind       `json:"kind"`
@@ -122,36 +122,36 @@
 	Payload    string              `json:"payload,omitempty"`
 	Checkpoint string              `json:"checkpoint,omitempty"`
 	Ticket     string              `json:"ticket,omitempty"`
-	Needs      specifier.Resources `json:"needs"` // what it takes of the VM's capacity
+	Needs      specifier.Resources `json:"needs"` // capacity of the VM that the run uses
 	Percent    int                 `json:"percent,omitempty"`
 }
 
-// WorkHint tells the owner of a record that an entry has just stored, so that it
-// need not wait for its watch.
+// WorkHint notifies the owner of a record that an entry has just stored, so that the
+// owner does not depend on its watch.
 type WorkHint struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
 }
 
-// WorkStoreRequest asks the owner to create a record below its work prefix for an
-// entry that does not reach the store.
+// WorkStoreRequest asks the owner to create a record under its work prefix for an
+// entry that can't reach the store.
 type WorkStoreRequest struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// WorkStoreOutcome tells what became of a record.
+// WorkStoreOutcome is the outcome of a WorkStoreRequest.
 type WorkStoreOutcome string
 
-// Outcomes.
+// Outcomes of a WorkStoreRequest.
 const (
-	WorkStored    WorkStoreOutcome = "stored"    // now or before
-	WorkRefused   WorkStoreOutcome = "refused"   // surely not
-	WorkUnsettled WorkStoreOutcome = "unsettled" // not known
+	WorkStored    WorkStoreOutcome = "stored"    // by this request or an earlier one
+	WorkRefused   WorkStoreOutcome = "refused"   // definitely not stored
+	WorkUnsettled WorkStoreOutcome = "unsettled" // outcome unknown
 )
 
-// WorkStoreReply tells the outcome.
+// WorkStoreReply answers a WorkStoreRequest.
 type WorkStoreReply struct {
 	Outcome WorkStoreOutcome `json:"outcome"`
 	Reason  string           `json:"reason,omitempty"`
@@ -162,11 +162,11 @@
 	Job string `json:"job"`
 }
 
-// WorkStateReply tells the state of a job; Known is false if the owner has no such
-// job, which is not proof that none was accepted.
+// WorkStateReply contains the state of a job. Known is false if the owner has no such
+// job, which does not prove that it was never accepted.
 type WorkStateReply struct {
 	Known bool   `json:"known"`
-	State string `json:"state,omitempty"` // accountant.JobState
+	State string `json:"state,omitempty"` // an accountant.JobState
 }
 
 // WorkPendingRequest asks how many jobs of a queue have not started.
@@ -174,19 +174,19 @@
 	Queue string `json:"queue"`
 }
 
-// WorkPendingReply tells it.
+// WorkPendingReply answers a WorkPendingRequest.
 type WorkPendingReply struct {
 	Pending int `json:"pending"`
 }
 
-// WorkExplainReply tells everything that the owner knows of a job.
+// WorkExplainReply contains the owner's full state of a job.
 type WorkExplainReply struct {
 	Known       bool             `json:"known"`
 	Job         string           `json:"job"`
 	Queue       string           `json:"queue"`
 	State       string           `json:"state"`
-	Epoch       int64            `json:"epoch"`               // of the owner
-	Unsettled   bool             `json:"unsettled,omitempty"` // waits for VMs that an earlier owner may have used
+	Epoch       int64            `json:"epoch"`               // epoch of the owner
+	Unsettled   bool             `json:"unsettled,omitempty"` // the owner waits for VMs that an earlier owner may have used
 	Occurrences int              `json:"occurrences"`
 	Finished    int              `json:"finished-occurrences"`
 	Steps       []WorkStepStatus `json:"steps,omitempty"` // of the open occurrences
@@ -205,7 +205,7 @@
 	Runs       []WorkRunStatus `json:"runs,omitempty"`
 }
 
-// WorkRunStatus is a live run.
+// WorkRunStatus is the state of a run that has not ended.
 type WorkRunStatus struct {
 	Task  string `json:"task"`
 	Run   int64  `json:"run"`
@@ -213,9 +213,9 @@
 	State string `json:"state"`
 }
 
-// WorkOwner tells who owns the cell as far as an entry knows, and which entries
-// it knows.
+// WorkOwner contains the owner of the cell and the other entries as known to an
+// entry.
 type WorkOwner struct {
-	Owner   CellOwner     `json:"owner"` // zero if unknown
+	Owner   CellOwner     `json:"owner"` // zero value if unknown
 	Entries []PeerAddress `json:"entries,omitempty"`
 }
