--- a/internal/wire/abridger/abridger.go
+++ b/internal/wire/abridger/abridger.go
@@ -1,11 +1,12 @@
-// Package abridger leaves out of an agent's reports what its owner knows already.
+// Package abridger shortens the reports of an agent to what its owner does not have yet.
 //
-// A report tells everything of a VM's runs, since what it does not list the owner starts
-// elsewhere. Nearly all of it is the same each time but for two figures a run, and an
-// owner of many VMs would spend its processor on reading it. So a session's first report is whole, and those that follow name the runs by numbers
-// and tell what has changed. The reports of a session come one after the other on one
-// connection, each once the one before was answered; a report that gets lost ends the
-// session, and the next one begins whole again.
+// A full report lists all runs of a VM, since the owner treats an unlisted run as lost and
+// starts it elsewhere. Nearly all of it is the same each time except for two numbers per run,
+// and an owner of many VMs would spend its processor time on decoding it. Therefore the first
+// report of a session is complete, and later ones refer to runs by id and contain only what
+// has changed. The reports of a session are sent one at a time on one connection, each after
+// the previous one was answered. A lost report ends the session, and the next session starts
+// with a full report.
 package abridger
 
 import (
@@ -16,125 +17,128 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// run names a run.
-type run struct {
+// runKey identifies a run.
+type runKey struct {
 	task   string
 	number int64
 }
 
-// Abridger is the agent's side of a session after the other. It is not safe for
+// Abridger is the agent's side, for one session after another. It is not safe for
 // concurrent use.
 type Abridger struct {
-	session int64
-	part    int64 // reports of the session so far
-	told    map[run]messenger.WorkRun
-	next    int64
+	session  int64
+	part     int64 // reports of the session so far
+	reported map[runKey]messenger.WorkRun
+	lastID   int64
 }
 
-// New returns an Abridger that has told nothing.
+// New returns an Abridger that has reported nothing.
 func New() *Abridger { return &Abridger{} }
 
-// Abridge returns what the owner has to be told of a whole report. The reports of a
-// session must all be sent, in this order.
-func (a *Abridger) Abridge(whole messenger.WorkReport) messenger.WorkReport {
-	if a.told == nil || whole.Session != a.session {
-		a.session, a.part, a.told, a.next = whole.Session, 0, make(map[run]messenger.WorkRun), 0
+// Abridge returns the abridged form of a full report. All reports of a session must be
+// sent, in this order.
+func (a *Abridger) Abridge(full messenger.WorkReport) messenger.WorkReport {
+	if a.reported == nil || full.Session != a.session {
+		a.session, a.part, a.reported, a.lastID = full.Session, 0, make(map[runKey]messenger.WorkRun), 0
 	}
 	a.part++
-	short := whole
-	short.Abridged, short.Part, short.Runs = true, a.part, nil
-	listed := make(map[run]bool, len(whole.Runs))
-	for _, r := range whole.Runs {
-		key := run{r.Task, r.Run}
+	abridged := full
+	abridged.Abridged, abridged.Part, abridged.Runs = true, a.part, nil
+	listed := make(map[runKey]bool, len(full.Runs))
+	for _, r := range full.Runs {
+		key := runKey{r.Task, r.Run}
 		listed[key] = true
-		before, ok := a.told[key]
+		before, ok := a.reported[key]
 		if r.ID = before.ID; !ok {
-			a.next++
-			r.ID = a.next
+			a.lastID++
+			r.ID = a.lastID
 		}
 		switch {
-		case !ok || !sameButFigures(before, r):
-			short.Runs = append(short.Runs, r)
+		case !ok || !equalExceptProgress(before, r):
+			abridged.Runs = append(abridged.Runs, r)
 		case before.Progress != r.Progress || before.Measure != r.Measure:
-			short.Updates = append(short.Updates, [3]int64{r.ID, int64(r.Progress), r.Measure})
+			abridged.Updates = append(abridged.Updates, [3]int64{r.ID, int64(r.Progress), r.Measure})
 		}
-		a.told[key] = r
+		a.reported[key] = r
 	}
-	for key, r := range a.told {
+	for key, r := range a.reported {
 		if !listed[key] {
-			short.Removed = append(short.Removed, r.ID)
-			delete(a.told, key)
+			abridged.Removed = append(abridged.Removed, r.ID)
+			delete(a.reported, key)
 		}
 	}
-	slices.Sort(short.Removed)
-	return short
+	slices.Sort(abridged.Removed)
+	return abridged
 }
 
-func sameButFigures(a, b messenger.WorkRun) bool {
+// equalExceptProgress reports whether a and b differ at most in progress and measure.
+func equalExceptProgress(a, b messenger.WorkRun) bool {
 	if (a.Needs == nil) != (b.Needs == nil) || a.Needs != nil && *a.Needs != *b.Needs {
 		return false
 	}
 	return a.Confirmed == b.Confirmed && a.Stopping == b.Stopping && a.Checkpoint == b.Checkpoint
 }
 
-// ErrUnknownRun is returned for a report that names a run that was never told: one before
-// it was lost, and the session has to begin anew.
+// ErrUnknownRun is returned for a report that refers to a run that no report of the session
+// contained: an earlier report was lost, and a new session has to be opened.
 type ErrUnknownRun struct{ ID int64 }
 
-func (e ErrUnknownRun) Error() string { return fmt.Sprintf("run %d was never told", e.ID) }
+func (e ErrUnknownRun) Error() string {
+	return fmt.Sprintf("run %d was in no earlier report of the session", e.ID)
+}
 
-// ErrReportMissing is returned for a report of a session that does not follow the last one
-// that was read: what it leaves out is not known, and the session has to begin anew.
+// ErrReportMissing is returned for a report that does not follow the last one read of its
+// session: what it leaves out is unknown, and a new session has to be opened.
 type ErrReportMissing struct{ Part, Want int64 }
 
 func (e ErrReportMissing) Error() string {
-	return fmt.Sprintf("report %d of the session came in place of %d", e.Part, e.Want)
+	return fmt.Sprintf("received report %d of the session, expected report %d", e.Part, e.Want)
 }
 
 // Restorer is the owner's side of a connection. It is not safe for concurrent use.
 type Restorer struct {
 	session int64
-	part    int64 // last one read
-	known   map[int64]messenger.WorkRun
+	part    int64 // number of the last report read
+	runs    map[int64]messenger.WorkRun
 }
 
-// NewRestorer returns a Restorer that knows nothing.
+// NewRestorer returns a Restorer that has read no report.
 func NewRestorer() *Restorer { return &Restorer{} }
 
-// Restore returns the whole report. One that is not abridged is returned as it is.
-func (r *Restorer) Restore(short messenger.WorkReport) (messenger.WorkReport, error) {
-	if !short.Abridged {
-		return short, nil
+// Restore returns the full report. A report that is not abridged is returned unchanged.
+func (r *Restorer) Restore(abridged messenger.WorkReport) (messenger.WorkReport, error) {
+	if !abridged.Abridged {
+		return abridged, nil
 	}
-	if r.known == nil || short.Session != r.session {
-		r.session, r.part, r.known = short.Session, 0, make(map[int64]messenger.WorkRun)
+	if r.runs == nil || abridged.Session != r.session {
+		r.session, r.part, r.runs = abridged.Session, 0, make(map[int64]messenger.WorkRun)
 	}
-	if short.Part != r.part+1 {
-		return short, ErrReportMissing{Part: short.Part, Want: r.part + 1}
+	if abridged.Part != r.part+1 {
+		return abridged, ErrReportMissing{Part: abridged.Part, Want: r.part + 1}
 	}
-	r.part = short.Part
-	for _, told := range short.Runs {
-		r.known[told.ID] = told
+	r.part = abridged.Part
+	for _, changed := range abridged.Runs {
+		r.runs[changed.ID] = changed
 	}
-	for _, f := range short.Updates {
-		known, ok := r.known[f[0]]
+	for _, u := range abridged.Updates {
+		run, ok := r.runs[u[0]]
 		if !ok {
-			return short, ErrUnknownRun{f[0]}
+			return abridged, ErrUnknownRun{u[0]}
 		}
-		known.Progress, known.Measure = int(f[1]), f[2]
-		r.known[f[0]] = known
+		run.Progress, run.Measure = int(u[1]), u[2]
+		r.runs[u[0]] = run
 	}
-	for _, id := range short.Removed {
-		if _, ok := r.known[id]; !ok {
-			return short, ErrUnknownRun{id}
+	for _, id := range abridged.Removed {
+		if _, ok := r.runs[id]; !ok {
+			return abridged, ErrUnknownRun{id}
 		}
-		delete(r.known, id)
+		delete(r.runs, id)
 	}
-	whole := short
-	whole.Abridged, whole.Part, whole.Updates, whole.Removed, whole.Runs = false, 0, nil, nil, nil
-	for _, known := range r.known {
-		whole.Runs = append(whole.Runs, known)
+	full := abridged
+	full.Abridged, full.Part, full.Updates, full.Removed, full.Runs = false, 0, nil, nil, nil
+	for _, run := range r.runs {
+		full.Runs = append(full.Runs, run)
 	}
-	slices.SortFunc(whole.Runs, func(a, b messenger.WorkRun) int { return cmp.Compare(a.ID, b.ID) })
-	return whole, nil
+	slices.SortFunc(full.Runs, func(a, b messenger.WorkRun) int { return cmp.Compare(a.ID, b.ID) })
+	return full, nil
 }
--- a/internal/wire/abridger/abridger_test.go
+++ b/internal/wire/abridger/abridger_test.go
@@ -15,7 +15,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-func sorted(runs []messenger.WorkRun) []messenger.WorkRun {
+// withoutIDs returns the runs without ids, sorted by task and run.
+func withoutIDs(runs []messenger.WorkRun) []messenger.WorkRun {
 	var all []messenger.WorkRun
 	for _, r := range runs {
 		r.ID = 0
@@ -27,19 +28,19 @@
 	return all
 }
 
-// Tasks run twice, or never again, if the owner takes a run for gone that is not, or for
-// there that has ended. Whatever runs come, go, come again and change, over any sessions,
-// the owner must read from the abridged reports what the whole ones say.
-func TestTheOwnerReadsWhatTheAgentMeans(t *testing.T) {
+// Guards against tasks that run twice or never again: the owner treats a run as ended that is
+// not, or as running that has ended. Whatever runs start, end, start again and change, over any
+// sessions, the reports restored by the owner must equal the full reports.
+func TestRestoredReportsEqualFullReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, r := New(), NewRestorer()
 		session := int64(1)
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			if rapid.IntRange(0, 5).Draw(t, "session") == 0 {
 				session++
-				r = NewRestorer() // of another connection
+				r = NewRestorer() // for a new connection
 			}
-			whole := messenger.WorkReport{VM: "vm", Session: session, Ready: rapid.Bool().Draw(t, "ready")}
+			full := messenger.WorkReport{VM: "vm", Session: session, Ready: rapid.Bool().Draw(t, "ready")}
 			for n := range 6 {
 				if rapid.Bool().Draw(t, "runs") {
 					w := messenger.WorkRun{
@@ -50,15 +51,15 @@
 					if rapid.Bool().Draw(t, "needs") {
 						w.Needs = &specifier.Resources{CPUMillis: int64(rapid.IntRange(1, 2).Draw(t, "cpu"))}
 					}
-					whole.Runs = append(whole.Runs, w)
+					full.Runs = append(full.Runs, w)
 				}
 			}
-			got, err := r.Restore(carried(t, a.Abridge(whole)))
+			got, err := r.Restore(jsonRoundTrip(t, a.Abridge(full)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := whole
-			want.Runs, got.Runs = sorted(whole.Runs), sorted(got.Runs)
+			want := full
+			want.Runs, got.Runs = withoutIDs(full.Runs), withoutIDs(got.Runs)
 			if d := diff.Diff(want, got); d != "" {
 				t.Fatal(d)
 			}
@@ -67,8 +68,8 @@
 }
 
 // Guards against tasks that run twice: an owner that has not read all reports of a session
-// takes one that tells of changes for the whole, and starts what it does not list.
-func TestReportsOfASessionAreReadInOrder(t *testing.T) {
+// treats one that contains only changes as a full report, and starts what it does not list.
+func TestRestoreRefusesMissingReport(t *testing.T) {
 	report := func(runs ...string) messenger.WorkReport {
 		r := messenger.WorkReport{Session: 1}
 		for _, task := range runs {
@@ -78,53 +79,53 @@
 	}
 	tests := []struct {
 		name string
-		read []bool // by the owner, of three reports
+		read []bool // whether the owner reads each of three reports
 	}{
 		{"the owner took over after the first", []bool{false, true, true}},
-		{"one in between was lost", []bool{true, false, true}},
+		{"a report in between was lost", []bool{true, false, true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a, r := New(), NewRestorer()
 			var err error
-			for i, whole := range []messenger.WorkReport{report("a"), report("a", "b"), report("a", "b")} {
-				short := a.Abridge(whole)
+			for i, full := range []messenger.WorkReport{report("a"), report("a", "b"), report("a", "b")} {
+				abridged := a.Abridge(full)
 				if tt.read[i] && err == nil {
-					_, err = r.Restore(short)
+					_, err = r.Restore(abridged)
 				}
 			}
 			var missing ErrReportMissing
 			if !errors.As(err, &missing) {
-				t.Errorf("read with %v", err)
+				t.Errorf("got %v, want ErrReportMissing", err)
 			}
 		})
 	}
 }
 
-// carried is a report as it comes off the wire.
-func carried(t *rapid.T, r messenger.WorkReport) messenger.WorkReport {
+// jsonRoundTrip returns a report after encoding and decoding it as JSON.
+func jsonRoundTrip(t *rapid.T, r messenger.WorkReport) messenger.WorkReport {
 	b, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back messenger.WorkReport
-	if err := json.Unmarshal(b, &back); err != nil {
+	var decoded messenger.WorkReport
+	if err := json.Unmarshal(b, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return decoded
 }
 
-// A report that rests on one that never came must not be guessed at, nor one that names a
-// run that was never told, whatever its number says.
-func TestAMissedReportIsNoticed(t *testing.T) {
+// A report that depends on one that was not received must be refused, and so must one that
+// refers to a run that was never reported, even if its number is the expected one.
+func TestReportAfterLostOneIsRefused(t *testing.T) {
 	run := messenger.WorkRun{Task: "task", Run: 1}
 	tests := []struct {
 		name   string
-		number func(r *messenger.WorkReport)
+		modify func(r *messenger.WorkReport)
 		want   func(err error) bool
 	}{
-		{"by its number", func(*messenger.WorkReport) {}, func(err error) bool { return errors.As(err, new(ErrReportMissing)) }},
-		{"by the run that it names", func(r *messenger.WorkReport) { r.Part = 1 }, func(err error) bool { return errors.As(err, new(ErrUnknownRun)) }},
+		{"unexpected number", func(*messenger.WorkReport) {}, func(err error) bool { return errors.As(err, new(ErrReportMissing)) }},
+		{"unknown run", func(r *messenger.WorkReport) { r.Part = 1 }, func(err error) bool { return errors.As(err, new(ErrUnknownRun)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,11 +135,11 @@
 			run.Progress = 5
 			changed := a.Abridge(messenger.WorkReport{Session: 1, Runs: []messenger.WorkRun{run}})
 			a.Abridge(messenger.WorkReport{Session: 1, Runs: []messenger.WorkRun{run}}) // lost
-			gone := a.Abridge(messenger.WorkReport{Session: 1})
-			for _, short := range []messenger.WorkReport{changed, gone} {
-				tt.number(&short)
-				if _, err := NewRestorer().Restore(short); !tt.want(err) {
-					t.Errorf("restored with %v", err)
+			ended := a.Abridge(messenger.WorkReport{Session: 1})
+			for _, abridged := range []messenger.WorkReport{changed, ended} {
+				tt.modify(&abridged)
+				if _, err := NewRestorer().Restore(abridged); !tt.want(err) {
+					t.Errorf("got %v", err)
 				}
 			}
 		})
