--- a/internal/wire/connector/codec.go
+++ b/internal/wire/connector/codec.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-// MaxMessageBytes bounds one message, so that a broken length prefix can't make
-// the reader allocate without limit.
+// MaxMessageBytes limits the size of a message, so that a corrupt length prefix can't
+// make the reader allocate unbounded memory.
 const MaxMessageBytes = 24 << 20
 
-// codec is jsonrpc2's varint framing with the bound above.
+// codec is the varint framing of jsonrpc2 with a limit of MaxMessageBytes.
 type codec struct{}
 
 // WriteObject implements jsonrpc2.ObjectCodec.
@@ -48,9 +48,9 @@
 	return decode(data, v)
 }
 
-// encode and decode call the library's messages directly: json.Marshal and
-// json.Unmarshal would read the whole message once more to check what those return and
-// take, a quarter of the cost of a message.
+// encode and decode call the marshal methods of the library's messages directly. json.Marshal
+// and json.Unmarshal would scan the whole message once more to validate what these methods
+// return and receive, which is a quarter of the cost of a message.
 func encode(obj any) ([]byte, error) {
 	if m, ok := obj.(json.Marshaler); ok {
 		return m.MarshalJSON()
--- a/internal/wire/connector/connector.go
+++ b/internal/wire/connector/connector.go
@@ -1,5 +1,5 @@
-// Package connector carries the messages of messenger over TCP with
-// sourcegraph/jsonrpc2. Calls go both ways on a connection, whoever dialled it.
+// Package connector sends the messages of package messenger over TCP with
+// sourcegraph/jsonrpc2. Both sides of a connection can make calls, whichever dialled.
 package connector
 
 import (
@@ -15,12 +15,12 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Handler answers a call from the other side. Each call runs on a goroutine of
-// its own; its context ends with the connection. An Error keeps its code on the
-// wire, any other error becomes CodeUnknown.
+// Handler answers a call from the other side. Each call runs on its own goroutine;
+// its context ends with the connection. An Error is sent with its code, any other
+// error with CodeUnknown.
 type Handler func(ctx context.Context, c *Conn, method string, params json.RawMessage) (any, error)
 
-// Error is an error with a code of messenger that the caller acts on.
+// Error is an error with one of the codes of package messenger, which callers act on.
 type Error struct {
 	Code    int64
 	Message string
@@ -28,13 +28,13 @@
 
 func (e Error) Error() string { return e.Message }
 
-// Errorf returns an Error.
+// Errorf returns an Error with a formatted message.
 func Errorf(code int64, format string, args ...any) error {
 	return Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
 // CodeOf returns the code of err, or 0 if the error did not come from the other
-// side: then it is not known whether the call had an effect.
+// side; then it is unknown whether the call had an effect.
 func CodeOf(err error) int64 {
 	var e Error
 	if errors.As(err, &e) {
@@ -43,7 +43,7 @@
 	return 0
 }
 
-// Decode reads the parameters of a call.
+// Decode decodes the parameters of a call.
 func Decode[T any](params json.RawMessage) (T, error) {
 	var t T
 	if err := json.Unmarshal(params, &t); err != nil {
@@ -58,18 +58,18 @@
 	remote string
 }
 
-// Dial connects to address. Handle answers calls of the other side.
+// Dial connects to address. Calls of the other side are passed to handle.
 func Dial(ctx context.Context, address string, handle Handler) (*Conn, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return wrap(raw, handle), nil
+	return newConn(raw, handle), nil
 }
 
 // Serve accepts connections until ctx ends, then closes the listener and all
-// connections. Opened, if set, is told of each connection.
+// connections. If opened is not nil, it is called with each new connection.
 func Serve(ctx context.Context, l net.Listener, handle Handler, opened func(*Conn)) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -82,10 +82,10 @@
 			if errors.Is(err, net.ErrClosed) {
 				return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors: wait for some to close
+			time.Sleep(10 * time.Millisecond) // out of file descriptors: wait until some are closed
 			continue
 		}
-		c := wrap(raw, handle)
+		c := newConn(raw, handle)
 		context.AfterFunc(ctx, func() { c.Close() })
 		if opened != nil {
 			opened(c)
@@ -93,11 +93,11 @@
 	}
 }
 
-func wrap(raw net.Conn, handle Handler) *Conn {
+func newConn(raw net.Conn, handle Handler) *Conn {
 	c := &Conn{remote: raw.RemoteAddr().String()}
 	stream := jsonrpc2.NewBufferedStream(newQueuedConn(raw), codec{})
 	ctx, cancel := context.WithCancel(context.Background())
-	ready := make(chan struct{}) // the library reads before NewConn returns
+	ready := make(chan struct{}) // the library may call the handler before NewConn returns
 	c.rpc = jsonrpc2.NewConn(ctx, stream, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(
 		func(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 			<-ready
@@ -109,7 +109,7 @@
 				return nil, wireError(err)
 			}
 			return result, nil
-		})), jsonrpc2.SetLogger(silent{}))
+		})), jsonrpc2.SetLogger(discardLogger{}))
 	close(ready)
 	go func() {
 		<-c.rpc.DisconnectNotify()
@@ -118,12 +118,13 @@
 	return c
 }
 
-// silent drops the library's own log lines: an answer that comes after its
-// caller gave up is ordinary here and dropped by id.
-type silent struct{}
+// discardLogger drops the log lines of the library: it logs each answer that arrives
+// after its caller has timed out, which is normal here.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
+// wireError converts err to an error of the library, which is sent with its code.
 func wireError(err error) error {
 	code := CodeOf(err)
 	if code == 0 {
@@ -132,9 +133,9 @@
 	return &jsonrpc2.Error{Code: code, Message: err.Error()}
 }
 
-// Call sends a call and waits for its answer into result, a pointer. It returns
-// an Error if the other side answered with one; with any other error the call
-// may or may not have had its effect. A late answer is dropped by id.
+// Call makes a call and decodes its answer into result, a pointer. It returns an
+// Error if the other side answered with one; after any other error the call may or
+// may not have had an effect. An answer that arrives late is dropped by its id.
 func (c *Conn) Call(ctx context.Context, method string, params, result any) error {
 	err := c.rpc.Call(ctx, method, params, result)
 	var remote *jsonrpc2.Error
@@ -153,5 +154,5 @@
 // Remote returns the address of the other side.
 func (c *Conn) Remote() string { return c.remote }
 
-// Close ends the connection; calls that wait return with an error.
+// Close closes the connection; pending calls return an error.
 func (c *Conn) Close() error { return c.rpc.Close() }
--- a/internal/wire/connector/connector_test.go
+++ b/internal/wire/connector/connector_test.go
@@ -14,6 +14,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
+// serve starts a server and returns its address.
 func serve(t *testing.T, handle Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,9 +32,9 @@
 	return nil, Errorf(messenger.CodeUnavailable, "refused")
 }
 
-// TestCallsGoBothWays calls the listener, which calls the dialler back before it
-// answers: agents dial entries, and entries send requests over that connection.
-func TestCallsGoBothWays(t *testing.T) {
+// TestCallsInBothDirections calls the listening side, which calls the dialling side before it
+// answers: agents dial entries, and entries send requests on that connection.
+func TestCallsInBothDirections(t *testing.T) {
 	address := serve(t, func(ctx context.Context, c *Conn, _ string, _ json.RawMessage) (any, error) {
 		var back string
 		err := c.Call(ctx, "back", messenger.Empty{}, &back)
@@ -52,7 +53,7 @@
 	}
 }
 
-func TestErrorKeepsItsCode(t *testing.T) {
+func TestErrorCodeIsSent(t *testing.T) {
 	c, err := Dial(context.Background(), serve(t, refuse), refuse)
 	if err != nil {
 		t.Fatal(err)
@@ -64,10 +65,10 @@
 	}
 }
 
-// TestFrozenPeerDoesNotBlockCallers sends large calls to a peer that accepts the
-// connection and never reads. Each caller must come back at its own deadline;
-// with a plain write all would hang once the kernel's buffer is full.
-func TestFrozenPeerDoesNotBlockCallers(t *testing.T) {
+// TestSuspendedPeerDoesNotBlockCallers makes large calls to a peer that accepts the
+// connection and never reads. Each call must return at its own deadline; with direct
+// writes all would block once the kernel's send buffer is full.
+func TestSuspendedPeerDoesNotBlockCallers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,11 +89,10 @@
 	}
 }
 
-// TestMessagesStayWhole sends answers back and forth from several callers with
-// idle moments between. A buffer that is queued into while it is still being
-// written reaches the other side as broken bytes, which ends the connection or
-// gives a caller another one's answer.
-func TestMessagesStayWhole(t *testing.T) {
+// TestConcurrentMessagesAreIntact makes calls from several callers with idle periods in
+// between. If data is appended to a buffer while it is being written, the other side
+// receives corrupt bytes; the connection ends, or a caller gets the answer to another call.
+func TestConcurrentMessagesAreIntact(t *testing.T) {
 	address := serve(t, func(_ context.Context, _ *Conn, _ string, params json.RawMessage) (any, error) {
 		return params, nil
 	})
--- a/internal/wire/connector/fuzz_test.go
+++ b/internal/wire/connector/fuzz_test.go
@@ -15,9 +15,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// FuzzReadObject feeds the framing with bytes of a broken or hostile peer. It
-// must neither end the process nor take memory beyond the bound, and what
-// it accepts must come back the same.
+// FuzzReadObject reads frames of arbitrary bytes, as from a faulty or hostile peer. It
+// must neither crash nor allocate more than the limit, and what it accepts must be equal
+// after writing and reading it again.
 func FuzzReadObject(f *testing.F) {
 	var framed bytes.Buffer
 	id := jsonrpc2.ID{Num: 7}
@@ -39,14 +39,14 @@
 		if err := (codec{}).WriteObject(&again, v); err != nil {
 			t.Fatal(err)
 		}
-		var back any
-		if err := (codec{}).ReadObject(bufio.NewReader(&again), &back); err != nil || !reflect.DeepEqual(v, back) {
-			t.Errorf("%v came back as %v, %v", v, back, err)
+		var decoded any
+		if err := (codec{}).ReadObject(bufio.NewReader(&again), &decoded); err != nil || !reflect.DeepEqual(v, decoded) {
+			t.Errorf("%v was decoded as %v, %v", v, decoded, err)
 		}
 	})
 }
 
-// decoders are those of every message; a number chooses one.
+// decoders has the decoder of each message; the fuzz input selects one by index.
 var decoders = []func([]byte) (any, error){
 	decoder[messenger.Announce], decoder[messenger.AnnounceReply], decoder[messenger.Heartbeat],
 	decoder[messenger.PeersRequest], decoder[messenger.FleetRequest], decoder[messenger.FleetReply],
@@ -61,8 +61,8 @@
 
 func decoder[T any](data []byte) (any, error) { return Decode[T](data) }
 
-// FuzzDecode decodes bytes as each message. What is accepted must encode again
-// and keep its meaning, so that an entry that passes a message on changes nothing.
+// FuzzDecode decodes bytes as each message. What is accepted must be unchanged after
+// encoding and decoding it again, so that an entry that forwards a message does not alter it.
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1, 0).UTC()
 	seeds := []any{
@@ -84,8 +84,8 @@
 	}
 	f.Add(uint(0), []byte(`{"incarnation":1e99}`))
 	f.Add(uint(6), []byte(`{"body":"?"}`))
-	f.Fuzz(func(t *testing.T, which uint, data []byte) {
-		decode := decoders[which%uint(len(decoders))]
+	f.Fuzz(func(t *testing.T, index uint, data []byte) {
+		decode := decoders[index%uint(len(decoders))]
 		v, err := decode(data)
 		if err != nil {
 			if CodeOf(err) != messenger.CodeBadRequest {
--- a/internal/wire/connector/queued_conn.go
+++ b/internal/wire/connector/queued_conn.go
@@ -8,15 +8,15 @@
 
 const (
 	maxQueuedBytes = 64 << 20
-	writeLimit     = 5 * time.Second
+	writeTimeout   = 5 * time.Second
 )
 
-// queuedConn writes on a goroutine of its own. A peer that is frozen (SIGSTOP)
-// or cut off leaves the kernel's buffer full; a plain write then blocks, under
-// the lock of the connection, every caller that wants to send to that peer, past
-// its deadline. Here a write only queues; the goroutine closes the connection
-// when the peer has taken nothing for writeLimit, or the queue is full, so no
-// caller waits and the memory is bounded.
+// queuedConn writes on its own goroutine. If a peer is suspended (SIGSTOP) or
+// unreachable, the kernel's send buffer fills up; a direct write would then block
+// while holding the lock of the connection, and delay all callers that send to
+// that peer past their deadlines. Here Write only queues the data. The connection
+// is closed when a write takes longer than writeTimeout or the queue is full, so
+// no caller waits and memory is bounded.
 type queuedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -33,7 +33,7 @@
 	return c
 }
 
-// Write queues b.
+// Write queues b. It closes the connection if the queue is full.
 func (c *queuedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	full := len(c.queue)+len(b) > maxQueuedBytes
@@ -54,12 +54,13 @@
 	return len(b), nil
 }
 
-// Close ends the connection and the writing goroutine.
+// Close closes the connection and ends its goroutine.
 func (c *queuedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
+// flush writes queued data until the connection is closed.
 func (c *queuedConn) flush() {
 	for {
 		select {
@@ -74,20 +75,20 @@
 				c.mu.Unlock()
 				break
 			}
-			// The spare buffer goes to the queue and is nobody else's: kept here
-			// too, it would be queued into while it is being written, and the
-			// other side would read broken messages.
+			// The queue takes over the spare buffer. A second reference to it here
+			// would let Write append to it while it is being written, and the other
+			// side would receive corrupt messages.
 			c.queue, c.spare = c.spare[:0], nil
 			c.mu.Unlock()
-			// A deadline that can't be set shows as a failed write below.
-			_ = c.SetWriteDeadline(time.Now().Add(writeLimit))
+			// If the deadline can't be set, the write below fails.
+			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.Conn.Write(batch); err != nil {
 				c.Close()
 				return
 			}
 			c.spare = batch
 			if cap(batch) > 1<<20 {
-				c.spare = nil // a large answer once must not hold its memory for good
+				c.spare = nil // don't keep the memory of a single large answer
 			}
 		}
 	}
