--- a/internal/kernel/loader/loader.go
+++ b/internal/kernel/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader fills settings from flags and environment variables. A flag
-// wins over its variable; the variable of flag "store-url" is
+// Package loader sets flags from environment variables. A flag that is given takes
+// precedence over its variable; the variable of the flag "store-url" is
 // BAMBOOSPREAD_STORE_URL.
 package loader
 
@@ -12,16 +12,16 @@
 	"github.com/spf13/pflag"
 )
 
-// EnvPrefix begins the name of every environment variable of the program.
+// EnvPrefix is the prefix of all environment variables of the program.
 const EnvPrefix = "BAMBOOSPREAD_"
 
-// Variable returns the environment variable of a flag.
+// Variable returns the name of the environment variable of a flag.
 func Variable(flag string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Fill sets each flag that was not given from its environment variable. All
-// variables with bad values are reported together.
+// Fill sets each flag that was not given from its environment variable. The error
+// contains all variables with invalid values.
 func Fill(flags *pflag.FlagSet) error {
 	var errs []error
 	flags.VisitAll(func(f *pflag.Flag) {
@@ -39,14 +39,14 @@
 	return errors.Join(errs...)
 }
 
-// Findings collects the faults of several settings, so that an operator sees
-// all of them at once.
+// Findings collects the errors of several settings, so that an operator sees all
+// of them at once.
 type Findings struct{ list []error }
 
-// Add notes a fault of the setting with the given flag name.
+// Add adds an error of the setting with the given flag name.
 func (f *Findings) Add(flag, format string, args ...any) {
 	f.list = append(f.list, fmt.Errorf("--%s (%s): %s", flag, Variable(flag), fmt.Sprintf(format, args...)))
 }
 
-// Err returns all faults joined, or nil.
+// Err returns all errors joined, or nil.
 func (f *Findings) Err() error { return errors.Join(f.list...) }
