--- a/internal/kernel/pauser/pauser.go
+++ b/internal/kernel/pauser/pauser.go
@@ -1,4 +1,4 @@
-// Package pauser waits without outliving the work that waits.
+// Package pauser provides a pause that ends early when its context does.
 package pauser
 
 import (
