--- a/internal/kernel/timekeeper/timekeeper.go
+++ b/internal/kernel/timekeeper/timekeeper.go
@@ -1,7 +1,7 @@
-// Package timekeeper gives a clock that neither jumps with the time of day nor
-// stands still while the VM is suspended. Leases and deadlines are counted by it:
-// Go's monotonic clock would let a suspended process believe in a lease that has
-// run out, and the time of day would end leases that have not.
+// Package timekeeper provides a clock that does not jump when the system time is
+// changed and does not stop while the VM is suspended. Leases and deadlines are
+// measured by it: by Go's monotonic clock, a process that was suspended would treat
+// an expired lease as valid, and by the system time, leases could expire too early.
 package timekeeper
 
 import (
@@ -10,23 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-var base = start()
+var bootTime = currentBootTime()
 
-// start returns the time of day at which the boot clock read zero, as the time of
-// day stands when the process starts.
-func start() time.Time {
+// currentBootTime returns the system time at which the boot clock was zero, based on
+// the current system time.
+func currentBootTime() time.Time {
 	return time.Now().Round(0).Add(-sinceBoot())
 }
 
+// sinceBoot returns the time since boot, including suspensions.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has had the clock since 2.6.39; without it nothing here is safe.
+		// Linux has this clock since 2.6.39; without it, leases and deadlines are not safe.
 		panic("read the boot clock: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now returns the time of day at the start of the process plus the time that has
-// passed since, suspensions included.
-func Now() time.Time { return base.Add(sinceBoot()) }
+// Now returns the system time at the start of the process plus the time elapsed
+// since, including suspensions.
+func Now() time.Time { return bootTime.Add(sinceBoot()) }
