--- a/internal/kernel/registrar/registrar.go
+++ b/internal/kernel/registrar/registrar.go
@@ -1,6 +1,6 @@
-// Package registrar is the micro-kernel: it starts named services in the order
-// of their needs, lets them find each other by name, and stops them in reverse
-// order as one run group.
+// Package registrar is the micro-kernel: it starts named services in the order of
+// their dependencies, lets them look each other up by name, and stops them in
+// reverse order as one run group.
 package registrar
 
 import (
@@ -15,25 +15,25 @@
 // Service is a part of a process.
 type Service struct {
 	Name  string
-	Needs []string // names of services that must have started before
-	// Start prepares the service and returns the value that others find under
+	Needs []string // names of services that must be started before
+	// Start prepares the service and returns the value that Lookup returns for
 	// its name. It must not block longer than a few seconds.
 	Start func(ctx context.Context, r *Registrar) (any, error)
-	// Run works until ctx ends; nil for a service without a goroutine. A
-	// return while ctx is alive stops the whole process.
+	// Run runs the service until ctx ends; nil for a service without a goroutine.
+	// If it returns before ctx ends, the whole process stops.
 	Run func(ctx context.Context) error
-	// Drain runs before any service is stopped, in reverse order of starting:
-	// it refuses new work and waits for work in flight. It may be nil.
+	// Drain refuses new work and waits for work in flight. The services are drained
+	// in reverse start order before any of them is stopped. It may be nil.
 	Drain func(ctx context.Context) error
 }
 
 // Config holds the settings of a Registrar.
 type Config struct {
 	Reporter  *reporter.Reporter
-	StopLimit time.Duration // upper bound of a graceful stop
+	StopLimit time.Duration // maximum duration of a graceful stop
 }
 
-// Registrar owns the services of one process.
+// Registrar starts and stops the services of one process.
 type Registrar struct {
 	reporter  *reporter.Reporter
 	stopLimit time.Duration
@@ -41,7 +41,7 @@
 	values    map[string]any
 }
 
-// ErrServiceNotExist is returned by Lookup for a name that has not started.
+// ErrServiceNotExist is returned by Lookup for a service that has not started.
 type ErrServiceNotExist struct{ Name string }
 
 func (e ErrServiceNotExist) Error() string {
@@ -59,8 +59,8 @@
 // Add registers a service; it starts when Run is called.
 func (r *Registrar) Add(s Service) { r.services = append(r.services, s) }
 
-// Lookup returns the value of the service with the given name. Services call it
-// in Start for the names that they need.
+// Lookup returns the value of the service with the given name. Services call it in
+// Start for the services in their Needs.
 func Lookup[T any](r *Registrar, name string) (T, error) {
 	var zero T
 	v, ok := r.values[name]
@@ -74,22 +74,22 @@
 	return t, nil
 }
 
-// running is a started service with the channel on which its goroutine reports.
-type running struct {
+// startedService is a service that was started; done receives the result of Run.
+type startedService struct {
 	service Service
 	cancel  context.CancelFunc
 	done    chan error
 }
 
-// Run starts all services and blocks until ctx ends or one service fails, then
-// drains and stops them. It returns the first failure, or nil.
+// Run starts all services and blocks until ctx ends or one service fails, then drains
+// and stops them. It returns the first failure joined with the errors of the stop, or nil.
 func (r *Registrar) Run(ctx context.Context) error {
 	order, err := sortByNeeds(r.services)
 	if err != nil {
 		return err
 	}
 	failed := make(chan error, len(order))
-	var started []running
+	var started []startedService
 	for _, s := range order {
 		run, err := r.start(ctx, s, failed)
 		if err != nil {
@@ -107,23 +107,23 @@
 	return errors.Join(cause, r.stop(started))
 }
 
-func (r *Registrar) start(ctx context.Context, s Service, failed chan<- error) (running, error) {
+func (r *Registrar) start(ctx context.Context, s Service, failed chan<- error) (startedService, error) {
 	value, err := s.Start(ctx, r)
 	if err != nil {
 		r.reporter.Report(reporter.ServiceFailed, reporter.Fields{"service": s.Name, "error": err.Error()})
-		return running{}, fmt.Errorf("start service %s: %w", s.Name, err)
+		return startedService{}, fmt.Errorf("start service %s: %w", s.Name, err)
 	}
 	r.values[s.Name] = value
-	// A service outlives the stop signal until its turn comes, so that what
-	// depends on it can drain; hence a context of its own.
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	run := running{service: s, cancel: cancel, done: make(chan error, 1)}
+	// A service has its own context and keeps running after the stop signal until it
+	// is stopped in order, so that services that depend on it can drain.
+	serviceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	run := startedService{service: s, cancel: cancel, done: make(chan error, 1)}
 	if s.Run == nil {
 		run.done <- nil
 	} else {
 		go func() {
-			err := s.Run(own)
-			if own.Err() == nil {
+			err := s.Run(serviceCtx)
+			if serviceCtx.Err() == nil {
 				r.reporter.Report(reporter.ServiceFailed, reporter.Fields{"service": s.Name, "error": fmt.Sprint(err)})
 				failed <- fmt.Errorf("service %s ended: %w", s.Name, err)
 			}
@@ -134,17 +134,17 @@
 	return run, nil
 }
 
-func (r *Registrar) stop(started []running) error {
-	// Draining gets three quarters of the time: a part that waits too long for
-	// work in flight must not keep the others from ending in order.
-	draining, cancelDraining := context.WithTimeout(context.Background(), r.stopLimit*3/4)
-	defer cancelDraining()
+func (r *Registrar) stop(started []startedService) error {
+	// Draining gets three quarters of the time: a service that waits too long for work
+	// in flight must not prevent the others from stopping in order.
+	drainCtx, cancelDrain := context.WithTimeout(context.Background(), r.stopLimit*3/4)
+	defer cancelDrain()
 	ctx, cancel := context.WithTimeout(context.Background(), r.stopLimit)
 	defer cancel()
 	var errs []error
 	for i := len(started) - 1; i >= 0; i-- {
 		if drain := started[i].service.Drain; drain != nil {
-			if err := drain(draining); err != nil {
+			if err := drain(drainCtx); err != nil {
 				errs = append(errs, fmt.Errorf("drain service %s: %w", started[i].service.Name, err))
 			}
 		}
@@ -162,26 +162,27 @@
 	return errors.Join(errs...)
 }
 
+// sortByNeeds returns the services in the order in which they have to be started.
 func sortByNeeds(services []Service) ([]Service, error) {
 	byName := make(map[string]Service, len(services))
 	for _, s := range services {
-		if _, twice := byName[s.Name]; twice {
+		if _, duplicate := byName[s.Name]; duplicate {
 			return nil, fmt.Errorf("service %q is registered twice", s.Name)
 		}
 		byName[s.Name] = s
 	}
 	var order []Service
-	state := make(map[string]int) // 1: being visited, 2: done
-	var visit func(name, by string) error
-	visit = func(name, by string) error {
+	state := make(map[string]int) // 1: being visited, 2: visited
+	var visit func(name, dependent string) error
+	visit = func(name, dependent string) error {
 		s, ok := byName[name]
 		switch {
 		case !ok:
-			return fmt.Errorf("service %q needs %q, which is not registered", by, name)
+			return fmt.Errorf("service %q needs %q, which is not registered", dependent, name)
 		case state[name] == 2:
 			return nil
 		case state[name] == 1:
-			return fmt.Errorf("services %q and %q need each other", by, name)
+			return fmt.Errorf("services %q and %q need each other", dependent, name)
 		}
 		state[name] = 1
 		for _, need := range s.Needs {
--- a/internal/kernel/registrar/registrar_test.go
+++ b/internal/kernel/registrar/registrar_test.go
@@ -10,10 +10,10 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// TestServicesStopInReverse starts three services that need one another and
-// stops them: the last one to start must drain first, since callers reach the
-// system through it, and all drain before the first is ended.
-func TestServicesStopInReverse(t *testing.T) {
+// TestServicesDrainInReverseOrder starts three services that depend on one another and
+// stops them: the one started last must drain first, since callers reach the system
+// through it, and all must drain before the first one is stopped.
+func TestServicesDrainInReverseOrder(t *testing.T) {
 	var log []string
 	r := New(Config{Reporter: reporter.Discard(), StopLimit: time.Second})
 	add := func(name string, needs ...string) {
@@ -37,15 +37,15 @@
 	}
 }
 
-func TestSortByNeedsRefuses(t *testing.T) {
+func TestSortByNeedsErrors(t *testing.T) {
 	cases := []struct {
 		name     string
 		services []Service
 		want     string
 	}{
-		{"missing need", []Service{{Name: "a", Needs: []string{"b"}}}, `service "a" needs "b", which is not registered`},
+		{"missing service", []Service{{Name: "a", Needs: []string{"b"}}}, `service "a" needs "b", which is not registered`},
 		{"cycle", []Service{{Name: "a", Needs: []string{"b"}}, {Name: "b", Needs: []string{"a"}}}, `services "b" and "a" need each other`},
-		{"twice", []Service{{Name: "a"}, {Name: "a"}}, `service "a" is registered twice`},
+		{"duplicate name", []Service{{Name: "a"}, {Name: "a"}}, `service "a" is registered twice`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
