--- a/internal/kernel/spooler/spooler.go
+++ b/internal/kernel/spooler/spooler.go
@@ -1,5 +1,5 @@
-// Package spooler lets log lines be written without anybody waiting for the reader
-// of standard output: a full pipe would otherwise hold up every decision.
+// Package spooler writes log lines asynchronously, so that no caller waits for the
+// reader of standard output: a full pipe would otherwise delay every decision.
 package spooler
 
 import (
@@ -12,35 +12,35 @@
 	"time"
 )
 
-// Limits of what waits to be written.
+// Limits of the queue and of the writes.
 const (
 	maxLines     = 4096
-	maxLineBytes = 4096 // a longer line is cut
-	// maxBatchBytes bounds one write: a pipe takes so much whole or not at all, and of more
-	// the end may be lost with a reader that is behind.
+	maxLineBytes = 4096 // a longer line is truncated
+	// maxBatchBytes limits the size of a write: a pipe accepts up to this size atomically,
+	// and the end of a larger write may be lost if the reader is slow.
 	maxBatchBytes = 4096
-	closeLimit    = 500 * time.Millisecond
-	// writePause is between tries to write what a full pipe did not take, and writeTries is
-	// how many there are before the rest of a batch is dropped.
-	writePause = 10 * time.Millisecond
-	writeTries = 200
+	closeTimeout  = 500 * time.Millisecond
+	// writeRetryPause is the pause before a retry of what a full pipe did not accept. After
+	// maxWriteAttempts, the rest of a batch is dropped.
+	writeRetryPause  = 10 * time.Millisecond
+	maxWriteAttempts = 200
 )
 
-// Spooler is an io.Writer that never blocks. What does not fit is dropped and
-// counted; a line tells the count when there is room again.
+// Spooler is an io.Writer that never blocks. Lines that do not fit into its queue are
+// dropped and counted; a log line reports the count once there is space again.
 type Spooler struct {
-	out    io.Writer
-	lines  chan []byte
-	ended  chan struct{}
-	torn   bool // the last line written has no end
-	mu     sync.Mutex
-	lost   int64 // lines
-	closed bool
+	out        io.Writer
+	lines      chan []byte
+	done       chan struct{} // closed when run returns
+	incomplete bool          // the last line written has no newline
+	mu         sync.Mutex
+	dropped    int64 // lines
+	closed     bool
 }
 
 // New returns a Spooler that writes to out.
 func New(out io.Writer) *Spooler {
-	s := &Spooler{out: out, lines: make(chan []byte, maxLines), ended: make(chan struct{})}
+	s := &Spooler{out: out, lines: make(chan []byte, maxLines), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -52,82 +52,83 @@
 	if s.closed {
 		return len(line), nil
 	}
-	kept := append([]byte(nil), line[:min(len(line), maxLineBytes)]...)
+	queued := append([]byte(nil), line[:min(len(line), maxLineBytes)]...)
 	if len(line) > maxLineBytes {
-		kept[maxLineBytes-1] = '\n'
+		queued[maxLineBytes-1] = '\n'
 	}
 	select {
-	case s.lines <- kept:
+	case s.lines <- queued:
 	default:
-		s.lost++
+		s.dropped++
 	}
 	return len(line), nil
 }
 
+// run writes the queued lines in batches until the Spooler is closed.
 func (s *Spooler) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	var batch, next []byte
 	for line := range s.lines {
 		for next = line; next != nil; {
-			s.tellLost()
-			batch, next = s.gather(append(batch[:0], next...))
+			s.reportDropped()
+			batch, next = s.fillBatch(append(batch[:0], next...))
 			if rest := s.write(batch); len(rest) > 0 {
-				s.noteLost(int64(bytes.Count(rest, newline)))
+				s.addDropped(int64(bytes.Count(rest, newline)))
 			}
 		}
 	}
-	s.tellLost()
+	s.reportDropped()
 }
 
 var newline = []byte("\n")
 
-// write writes a batch and returns what it could not. A pipe that is full may take a part
-// of it and refuse the rest for a moment.
+// write writes a batch and returns the part that could not be written. A full pipe may
+// accept a part of a write and temporarily refuse the rest.
 func (s *Spooler) write(batch []byte) []byte {
-	if s.torn {
+	if s.incomplete {
 		batch = append([]byte("\n"), batch...)
 	}
-	for range writeTries {
+	for range maxWriteAttempts {
 		n, err := s.out.Write(batch)
 		if n > 0 {
-			s.torn = batch[n-1] != newline[0]
+			s.incomplete = batch[n-1] != newline[0]
 			batch = batch[n:]
 		}
 		if len(batch) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, io.ErrShortWrite) {
-			return batch // a reader that went away can't be told
+			return batch // the reader is gone and can't be notified
 		}
-		time.Sleep(writePause)
+		time.Sleep(writeRetryPause)
 	}
 	return batch
 }
 
-// tellLost writes how many lines were dropped since it was last told.
-func (s *Spooler) tellLost() {
+// reportDropped writes how many lines were dropped since the last report.
+func (s *Spooler) reportDropped() {
 	s.mu.Lock()
-	lost := s.lost
-	s.lost = 0
+	dropped := s.dropped
+	s.dropped = 0
 	s.mu.Unlock()
-	if lost == 0 {
+	if dropped == 0 {
 		return
 	}
-	if rest := s.write([]byte(fmt.Sprintf("level=warn message=\"log lines dropped\" lines=%d\n", lost))); len(rest) > 0 {
-		s.noteLost(lost)
+	if rest := s.write([]byte(fmt.Sprintf("level=warn message=\"log lines dropped\" lines=%d\n", dropped))); len(rest) > 0 {
+		s.addDropped(dropped)
 	}
 }
 
-func (s *Spooler) noteLost(lines int64) {
+func (s *Spooler) addDropped(lines int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost += lines
+	s.dropped += lines
 }
 
-// gather adds the lines that wait to a batch: a write each is a system call each, which
-// on a busy owner cost more than the lines themselves. It returns the line that found no
-// room any more, or nil.
-func (s *Spooler) gather(batch []byte) (full, next []byte) {
+// fillBatch appends queued lines to a batch: one write per line would be one system call
+// per line, which on a busy owner cost more than the lines themselves. It returns the line
+// that did not fit, or nil.
+func (s *Spooler) fillBatch(batch []byte) (filled, next []byte) {
 	for {
 		select {
 		case line, ok := <-s.lines:
@@ -144,7 +145,7 @@
 	}
 }
 
-// Close writes what waits, for half a second at most.
+// Close writes the queued lines. It waits for at most closeTimeout.
 func (s *Spooler) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -153,7 +154,7 @@
 	}
 	s.mu.Unlock()
 	select {
-	case <-s.ended:
-	case <-time.After(closeLimit):
+	case <-s.done:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/kernel/spooler/spooler_test.go
+++ b/internal/kernel/spooler/spooler_test.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// stuck is a reader that reads nothing until it is let go.
-type stuck struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedWriter blocks all writes until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	got     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.gate
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(p)
 }
 
-// Every decision of a process waits: the reader of its log has stopped reading, the
-// pipe is full, and a write of a line blocks.
+// Guards against decisions of a process that are delayed by logging: the reader of its log has
+// stopped reading, the pipe is full, and the write of a line blocks.
 func TestWriteNeverBlocks(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	s := New(out)
 	const lines = 3 * maxLines
-	begin := time.Now()
+	start := time.Now()
 	for range lines {
 		if n, err := s.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if took := time.Since(begin); took > time.Second {
-		t.Errorf("%d lines took %s with a reader that reads nothing", lines, took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("%d lines took %s while the reader is blocked", lines, took)
 	}
-	close(out.gate)
+	close(out.release)
 	for range 200 {
 		_, _ = s.Write([]byte("later\n"))
 		time.Sleep(time.Millisecond)
@@ -49,45 +49,46 @@
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if !strings.Contains(out.got.String(), "log lines dropped") {
-		t.Error("the lost lines are not told")
+		t.Error("the dropped lines are not reported")
 	}
 }
 
-// part takes so many bytes of each write and refuses the rest for a moment, until it is broken.
-type part struct {
-	most   int
-	broken int // writes from which on nothing is taken
-	mu     sync.Mutex
-	writes int
-	got    bytes.Buffer
+// shortWriter accepts at most limit bytes of each write and refuses the rest with EAGAIN.
+// Three writes from number failFrom on fail.
+type shortWriter struct {
+	limit    int
+	failFrom int // number of the first write that fails; 0: none
+	mu       sync.Mutex
+	writes   int
+	got      bytes.Buffer
 }
 
-func (p *part) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.writes++
-	if p.broken > 0 && p.writes >= p.broken && p.writes < p.broken+3 {
-		return 0, errGone
+func (w *shortWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.writes++
+	if w.failFrom > 0 && w.writes >= w.failFrom && w.writes < w.failFrom+3 {
+		return 0, errClosed
 	}
-	if len(b) <= p.most {
-		return p.got.Write(b)
+	if len(b) <= w.limit {
+		return w.got.Write(b)
 	}
-	n, _ := p.got.Write(b[:p.most])
+	n, _ := w.got.Write(b[:w.limit])
 	return n, syscall.EAGAIN
 }
 
-var errGone = errors.New("gone")
+var errClosed = errors.New("closed")
 
-// Guards against lines that end in their middle: a full pipe takes a part of a batch, and the
-// rest was dropped without a count.
-func TestLinesAreWholeThoughWritesAreShort(t *testing.T) {
+// Guards against truncated lines: a full pipe accepts a part of a batch, and the rest was
+// dropped without being counted.
+func TestShortWritesAreCompleted(t *testing.T) {
 	tests := []struct {
-		name  string
-		out   *part
-		whole int // lines, of 400
+		name     string
+		out      *shortWriter
+		complete int // above 0: all lines must be complete
 	}{
-		{"a part is taken at a time", &part{most: 1000}, 400},
-		{"a part is lost with a reader that comes back", &part{most: 4000, broken: 3}, 0},
+		{"short writes", &shortWriter{limit: 1000}, 400},
+		{"failed writes of a reader that recovers", &shortWriter{limit: 4000, failFrom: 3}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -102,53 +103,53 @@
 			time.Sleep(100 * time.Millisecond)
 			_, _ = s.Write([]byte(line))
 			s.Close()
-			whole, torn, lost := 0, 0, 0
+			complete, incomplete, dropped := 0, 0, 0
 			for _, l := range strings.SplitAfter(tt.out.got.String(), "\n") {
 				switch {
 				case l == line:
-					whole++
+					complete++
 				case strings.Contains(l, "log lines dropped"):
 					n := 0
 					if _, err := fmt.Sscanf(l[strings.Index(l, "lines="):], "lines=%d", &n); err != nil {
 						t.Fatal(err)
 					}
-					lost += n
+					dropped += n
 				case l != "":
-					torn++
+					incomplete++
 				}
 			}
-			if whole+lost != 401 {
-				t.Errorf("%d lines are whole and %d counted as dropped of 401", whole, lost)
+			if complete+dropped != 401 {
+				t.Errorf("%d lines are complete and %d counted as dropped of 401", complete, dropped)
 			}
-			if tt.whole > 0 && (torn > 0 || whole != 401) {
-				t.Errorf("%d lines are whole and %d torn", whole, torn)
+			if tt.complete > 0 && (incomplete > 0 || complete != 401) {
+				t.Errorf("%d lines are complete and %d incomplete", complete, incomplete)
 			}
-			if torn > 1 {
-				t.Errorf("%d lines are torn", torn)
+			if incomplete > 1 {
+				t.Errorf("%d lines are incomplete", incomplete)
 			}
 		})
 	}
 }
 
-// sizes notes what is written at a time.
-type sizes struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	all  []string
+// recordingWriter records the data of each write. All writes block until release is closed.
+type recordingWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	writes  []string
 }
 
-func (s *sizes) Write(b []byte) (int, error) {
-	<-s.gate
+func (s *recordingWriter) Write(b []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, string(b))
+	s.writes = append(s.writes, string(b))
 	return len(b), nil
 }
 
-// Guards against lines that end in their middle where a reader takes no more than a part of a
-// large write: a write is whole lines and no more than a pipe takes whole.
-func TestWritesAreWholeLinesThatAPipeTakesWhole(t *testing.T) {
-	out := &sizes{gate: make(chan struct{})}
+// Guards against truncated lines when a reader accepts only a part of a large write: a write
+// must consist of complete lines and be no larger than what a pipe accepts atomically.
+func TestWritesAreCompleteLinesWithinPipeLimit(t *testing.T) {
+	out := &recordingWriter{release: make(chan struct{})}
 	s := New(out)
 	want := 0
 	for n := range 500 {
@@ -156,21 +157,21 @@
 		want += len(line)
 		_, _ = s.Write([]byte(line))
 	}
-	close(out.gate)
+	close(out.release)
 	s.Close()
 	got := 0
-	for _, b := range out.all {
+	for _, b := range out.writes {
 		got += len(b)
 		if len(b) > 4096 || !strings.HasSuffix(b, "\n") {
-			t.Errorf("a write of %d bytes ends in %q", len(b), b[max(len(b)-10, 0):])
+			t.Errorf("a write of %d bytes ends with %q", len(b), b[max(len(b)-10, 0):])
 		}
 	}
-	if got != want || len(out.all) > 100 {
-		t.Errorf("%d of %d bytes in %d writes", got, want, len(out.all))
+	if got != want || len(out.writes) > 100 {
+		t.Errorf("wrote %d of %d bytes in %d writes", got, want, len(out.writes))
 	}
 }
 
-func TestLongLinesAreCut(t *testing.T) {
+func TestLongLinesAreTruncated(t *testing.T) {
 	var out bytes.Buffer
 	s := New(&out)
 	_, _ = s.Write([]byte(strings.Repeat("x", 2*maxLineBytes) + "\n"))
@@ -180,7 +181,7 @@
 	}
 }
 
-func TestCloseWritesWhatWaits(t *testing.T) {
+func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	s := New(&out)
 	_, _ = s.Write([]byte("last\n"))
