--- a/internal/wire/messenger/cell.go
+++ b/internal/wire/messenger/cell.go
@@ -60,8 +60,8 @@
 	RunTime    int64               `json:"run-time-ms,omitempty"`
 	Checkpoint string              `json:"checkpoint,omitempty"` // to resume from
 	Percent    int                 `json:"percent,omitempty"`    // with throttle: 1 to 100
-	// VoidAfterMillis is the time after which a start is refused, counted from
-	// when the agent sent the poll that this order answers.
+	// Time after which a start is refused, counted from when the agent sent the
+	// poll that this order answers.
 	VoidAfterMillis int64 `json:"void-after-ms,omitempty"`
 }
 
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -29,8 +29,8 @@
 	AgeMillis  int64      `json:"age-ms"` // of the reported state of the runs
 	Runs       []WorkRun  `json:"runs,omitempty"`
 	Ends       []WorkEnd  `json:"ends,omitempty"`
-	// Doubts are the unconfirmed starts: they were not answered and no status poll has shown
-	// the run yet. The worker may still carry them out, even in another incarnation.
+	// Unconfirmed starts: they were not answered and no status poll has shown the run yet.
+	// The worker may still carry them out, even in another incarnation.
 	Doubts []WorkDoubt `json:"doubts,omitempty"`
 	// An abridged report lists only runs that are new or changed in more than progress and
 	// measure; wire/abridger restores the full report.
@@ -89,7 +89,7 @@
 	// Needs are the needs of the listed runs, in the answer to the first report of a
 	// session: a restarted agent does not have them.
 	Needs []WorkRun `json:"needs,omitempty"`
-	// Doubts are the unconfirmed starts of earlier processes of the agent, in the same answer.
+	// Unconfirmed starts of earlier processes of the agent, in the same answer.
 	Doubts  []WorkDoubt   `json:"doubts,omitempty"`
 	Entries []PeerAddress `json:"entries,omitempty"` // to query for the owner when this one is lost
 }
