--- a/internal/request/admitter/admitter.go
+++ b/internal/request/admitter/admitter.go
@@ -1,6 +1,7 @@
-// Package admitter decides whether a request may go on to an upstream now, waits
-// a short bounded time, or is refused at once. Tenants have rate limits; beyond
-// these, those that compete for a service share it by weight.
+// Package admitter decides whether a request is sent to an upstream now, waits in
+// a queue for a short bounded time, or is refused immediately. Each tenant has a
+// rate limit; within it, tenants that compete for a service share its capacity by
+// weight.
 package admitter
 
 import (
@@ -13,28 +14,28 @@
 const (
 	defaultQueueLimit = 512
 	defaultMaxWait    = 35 * time.Millisecond
-	holdWeight        = 16
+	ewmaDivisor       = 16 // a new sample has a weight of 1/16 in the mean service time
 	minRetryAfter     = 10 * time.Millisecond
-	pumpInterval      = 5 * time.Millisecond
+	dispatchInterval  = 5 * time.Millisecond
 )
 
 // Config holds the settings of an Admitter.
 type Config struct {
-	// Capacity returns how many requests of the service may run now from here.
+	// Capacity returns how many requests of the service this entry may have running now.
 	Capacity   func(service string) int
 	QueueLimit int // waiting requests per service; default 512
-	// MaxWait bounds the time in the queue; default 35 ms. A request that is
-	// refused after all gets its final answer this late at most.
+	// MaxWait bounds the time in the queue and thereby the delay of a refusal;
+	// default 35 ms.
 	MaxWait time.Duration
 	Now     func() time.Time
 }
 
-// Options describes the request that asks to be admitted.
+// Options describes a request to be admitted.
 type Options struct {
 	Service  string
 	Tenant   string
 	Weight   float64 // of the tenant
-	Rate     float64 // of the tenant in requests a second; 0: no limit
+	Rate     float64 // limit of the tenant in requests per second; 0: no limit
 	Burst    int
 	Deadline time.Time
 }
@@ -43,11 +44,11 @@
 type ErrRefused struct {
 	Reason     string
 	RetryAfter time.Duration
-	RateLimit  bool // the tenant is above its own limit
+	RateLimit  bool // the tenant exceeded its rate limit
 }
 
 func (e ErrRefused) Error() string {
-	return fmt.Sprintf("%s; again after %s", e.Reason, e.RetryAfter)
+	return fmt.Sprintf("%s; retry after %s", e.Reason, e.RetryAfter)
 }
 
 // Admitter admits requests. It is safe for concurrent use.
@@ -58,7 +59,7 @@
 	services map[string]*queue
 }
 
-// New returns an Admitter without requests.
+// New returns an Admitter with empty queues.
 func New(c Config) *Admitter {
 	if c.QueueLimit <= 0 {
 		c.QueueLimit = defaultQueueLimit
@@ -72,69 +73,70 @@
 	return &Admitter{config: c, buckets: make(map[string]*bucket), services: make(map[string]*queue)}
 }
 
-// Admit waits until the request may run and returns the function that must be
-// called when it has ended, or an ErrRefused.
+// Admit waits until the request may run. It returns a function that must be called
+// when the request has ended, or an ErrRefused.
 func (a *Admitter) Admit(ctx context.Context, o Options) (func(), error) {
-	w, err := a.enter(o)
+	w, err := a.admitOrEnqueue(o)
 	if err != nil {
 		return nil, err
 	}
 	if w == nil {
-		return a.releaser(o), nil
+		return a.releaseFunc(o), nil
 	}
 	return a.wait(ctx, o, w)
 }
 
-// enter returns nil if the request may run now, or its place in the queue.
-func (a *Admitter) enter(o Options) (*waiter, error) {
+// admitOrEnqueue returns a nil waiter if the request may run now; otherwise it
+// adds the request to the queue and returns its waiter.
+func (a *Admitter) admitOrEnqueue(o Options) (*waiter, error) {
 	now := a.config.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if wait := a.bucketOf(o).take(o.Rate, o.Burst, now); wait > 0 {
-		return nil, ErrRefused{Reason: "tenant is above its request rate", RetryAfter: wait, RateLimit: true}
+		return nil, ErrRefused{Reason: "the tenant exceeded its request rate limit", RetryAfter: wait, RateLimit: true}
 	}
 	q := a.queueOf(o.Service)
 	tenant := q.tenantOf(o.Tenant, o.Weight)
 	capacity := a.config.Capacity(o.Service)
-	a.pump(q, capacity)
+	a.dispatch(q, capacity)
 	if q.inUse < capacity && q.waiting == 0 {
-		q.grant(tenant)
+		q.acquire(tenant)
 		return nil, nil
 	}
 	expected := q.expectedWait(tenant, capacity)
-	if expected > a.config.MaxWait || now.Add(expected+q.hold).After(o.Deadline) {
+	if expected > a.config.MaxWait || now.Add(expected+q.serviceTime).After(o.Deadline) {
 		return nil, ErrRefused{Reason: "all upstreams are taken", RetryAfter: max(expected, minRetryAfter)}
 	}
 	w := &waiter{
-		tenant: tenant, deadline: o.Deadline, limit: minTime(o.Deadline.Add(-q.hold), now.Add(a.config.MaxWait)),
+		tenant: tenant, deadline: o.Deadline, expiry: minTime(o.Deadline.Add(-q.serviceTime), now.Add(a.config.MaxWait)),
 		result: make(chan error, 1),
 	}
-	if !a.makeRoom(q, tenant) {
-		return nil, ErrRefused{Reason: "the queue is full", RetryAfter: max(expected, minRetryAfter)}
+	if !a.ensureQueueSpace(q, tenant) {
+		return nil, ErrRefused{Reason: "the admission queue of the service is full", RetryAfter: max(expected, minRetryAfter)}
 	}
 	q.push(w)
 	return w, nil
 }
 
-// makeRoom keeps the queue bounded. A full queue turns away the last of the
-// tenant that holds the most of it for its weight, so that a flood of one tenant
-// costs the others nothing.
-func (a *Admitter) makeRoom(q *queue, arriving *tenantQueue) bool {
+// ensureQueueSpace keeps the queue bounded. If the queue is full, it refuses the
+// last request of the tenant with the most waiting requests relative to its weight,
+// so that a flood from one tenant does not push out requests of the others.
+func (a *Admitter) ensureQueueSpace(q *queue, arriving *tenantQueue) bool {
 	if q.waiting < a.config.QueueLimit {
 		return true
 	}
-	heaviest := q.heaviest()
-	if heaviest == nil || heaviest == arriving ||
-		float64(len(heaviest.waiters))/heaviest.weight <= float64(len(arriving.waiters)+1)/arriving.weight {
+	largest := q.largestBacklog()
+	if largest == nil || largest == arriving ||
+		float64(len(largest.waiters))/largest.weight <= float64(len(arriving.waiters)+1)/arriving.weight {
 		return false
 	}
-	w := q.removeLast(heaviest)
-	w.result <- ErrRefused{Reason: "the queue is full", RetryAfter: a.config.MaxWait}
+	w := q.removeLast(largest)
+	w.result <- ErrRefused{Reason: "the admission queue of the service is full", RetryAfter: a.config.MaxWait}
 	return true
 }
 
 func (a *Admitter) wait(ctx context.Context, o Options, w *waiter) (func(), error) {
-	ticker := time.NewTicker(pumpInterval)
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -142,13 +144,13 @@
 			if err != nil {
 				return nil, err
 			}
-			return a.releaser(o), nil
+			return a.releaseFunc(o), nil
 		case <-ticker.C:
-			// Capacity also rises without a request ending here: an upstream
-			// came, or another entry's request ended.
+			// Capacity can also increase without a request of this entry ending:
+			// an upstream was added, or a request of another entry ended.
 			a.mu.Lock()
 			q := a.queueOf(o.Service)
-			a.pump(q, a.config.Capacity(o.Service))
+			a.dispatch(q, a.config.Capacity(o.Service))
 			a.mu.Unlock()
 		case <-ctx.Done():
 			return nil, a.abandon(o, w, ctx.Err())
@@ -156,22 +158,23 @@
 	}
 }
 
-// abandon takes the request out of the queue; if it was granted meanwhile, the
-// grant is given back.
+// abandon removes the request from the queue. If it has been admitted in the
+// meantime, its slot is released.
 func (a *Admitter) abandon(o Options, w *waiter, cause error) error {
 	a.mu.Lock()
 	removed := a.queueOf(o.Service).remove(w)
 	a.mu.Unlock()
 	if !removed && <-w.result == nil {
-		a.releaser(o)()
+		a.releaseFunc(o)()
 	}
-	return ErrRefused{Reason: fmt.Sprintf("given up while waiting: %v", cause), RetryAfter: minRetryAfter}
+	return ErrRefused{Reason: fmt.Sprintf("stopped waiting for an upstream: %v", cause), RetryAfter: minRetryAfter}
 }
 
-// pump grants places while there is capacity, and refuses who waited too long.
-func (a *Admitter) pump(q *queue, capacity int) {
+// dispatch refuses requests that have waited too long and admits waiting requests
+// while there is capacity.
+func (a *Admitter) dispatch(q *queue, capacity int) {
 	now := a.config.Now()
-	for _, w := range q.removeLate(now) {
+	for _, w := range q.removeExpired(now) {
 		w.result <- ErrRefused{Reason: "all upstreams are taken", RetryAfter: max(q.expectedWait(w.tenant, capacity), a.config.MaxWait)}
 	}
 	for q.inUse < capacity {
@@ -179,12 +182,13 @@
 		if w == nil {
 			return
 		}
-		q.grant(w.tenant)
+		q.acquire(w.tenant)
 		w.result <- nil
 	}
 }
 
-func (a *Admitter) releaser(o Options) func() {
+// releaseFunc returns the function that releases the slot of an admitted request.
+func (a *Admitter) releaseFunc(o Options) func() {
 	started := a.config.Now()
 	var once sync.Once
 	return func() {
@@ -193,7 +197,7 @@
 			defer a.mu.Unlock()
 			q := a.queueOf(o.Service)
 			q.release(q.tenantOf(o.Tenant, o.Weight), a.config.Now().Sub(started))
-			a.pump(q, a.config.Capacity(o.Service))
+			a.dispatch(q, a.config.Capacity(o.Service))
 		})
 	}
 }
--- a/internal/request/admitter/admitter_test.go
+++ b/internal/request/admitter/admitter_test.go
@@ -18,74 +18,75 @@
 	return errors.As(err, &r)
 }
 
-func fixed(n int) func(string) int { return func(string) int { return n } }
+func fixedCapacity(n int) func(string) int { return func(string) int { return n } }
 
-// flood sends requests of one tenant at random moments around an even rate for
-// the given time and counts them.
-type flood struct {
+// tenantLoad sends requests of one tenant for a given time, with exponentially
+// distributed intervals at a mean rate, and counts them.
+type tenantLoad struct {
 	tenant         string
-	weight, rate   float64 // requests a second
+	weight, rate   float64 // rate in requests per second
 	sent, refused  atomic.Int64
 	slowestRefusal atomic.Int64
 }
 
-func (f *flood) run(a *Admitter, random *rand.Rand, length, hold time.Duration) {
+func (l *tenantLoad) run(a *Admitter, random *rand.Rand, length, serviceTime time.Duration) {
 	var group sync.WaitGroup
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		time.Sleep(time.Duration(random.ExpFloat64() / f.rate * float64(time.Second)))
+		time.Sleep(time.Duration(random.ExpFloat64() / l.rate * float64(time.Second)))
 		group.Go(func() {
-			f.sent.Add(1)
-			began := time.Now()
+			l.sent.Add(1)
+			start := time.Now()
 			release, err := a.Admit(context.Background(), Options{
-				Service: "s", Tenant: f.tenant, Weight: f.weight, Deadline: began.Add(500 * time.Millisecond),
+				Service: "s", Tenant: l.tenant, Weight: l.weight, Deadline: start.Add(500 * time.Millisecond),
 			})
 			if err != nil {
-				f.refused.Add(1)
-				f.slowestRefusal.Store(max(f.slowestRefusal.Load(), int64(time.Since(began))))
+				l.refused.Add(1)
+				l.slowestRefusal.Store(max(l.slowestRefusal.Load(), int64(time.Since(start))))
 				return
 			}
-			time.Sleep(hold)
+			time.Sleep(serviceTime)
 			release()
 		})
 	}
 	group.Wait()
 }
 
-// TestTenantWithinItsShareIsNotRefused floods 88 slots of 10 ms (8800 requests a
-// second) with one tenant's 17600 a second while another sends a third of the
-// capacity, below its half. The flooding tenant is refused, at once; the other
-// must not be, whatever the first one has waiting. In virtual time.
+// TestTenantWithinItsShareIsNotRefused guards against one tenant's flood causing
+// refusals for another. A capacity of 8800 requests per second (88 slots of 10 ms)
+// gets 17600 per second from one tenant and a third of the capacity, which is less
+// than its half, from the other. The flooding tenant must be refused quickly; the
+// other must not be refused. Runs in virtual time.
 func TestTenantWithinItsShareIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := New(Config{Capacity: fixed(88)})
-		loud := &flood{tenant: "loud", weight: 1, rate: 17600}
-		quiet := &flood{tenant: "quiet", weight: 1, rate: 2900}
+		a := New(Config{Capacity: fixedCapacity(88)})
+		flooding := &tenantLoad{tenant: "flooding", weight: 1, rate: 17600}
+		steady := &tenantLoad{tenant: "steady", weight: 1, rate: 2900}
 		var group sync.WaitGroup
-		for i, f := range []*flood{loud, quiet} {
-			group.Go(func() { f.run(a, rand.New(rand.NewPCG(uint64(i), 7)), 2*time.Second, 10*time.Millisecond) })
+		for i, l := range []*tenantLoad{flooding, steady} {
+			group.Go(func() { l.run(a, rand.New(rand.NewPCG(uint64(i), 7)), 2*time.Second, 10*time.Millisecond) })
 		}
 		group.Wait()
-		quietShare := float64(quiet.refused.Load()) / float64(quiet.sent.Load())
-		ran := loud.sent.Load() - loud.refused.Load() + quiet.sent.Load() - quiet.refused.Load()
-		t.Logf("quiet: %d sent, %.4f refused; loud: %d sent, %d refused; slowest refusal %s; ran %d of 17600 possible",
-			quiet.sent.Load(), quietShare, loud.sent.Load(), loud.refused.Load(), time.Duration(loud.slowestRefusal.Load()), ran)
-		if quietShare > 0.01 {
-			t.Errorf("%.4f of the quiet tenant's requests were refused", quietShare)
+		refusedShare := float64(steady.refused.Load()) / float64(steady.sent.Load())
+		ran := flooding.sent.Load() - flooding.refused.Load() + steady.sent.Load() - steady.refused.Load()
+		t.Logf("steady: %d sent, %.4f refused; flooding: %d sent, %d refused; slowest refusal %s; ran %d of 17600 possible",
+			steady.sent.Load(), refusedShare, flooding.sent.Load(), flooding.refused.Load(), time.Duration(flooding.slowestRefusal.Load()), ran)
+		if refusedShare > 0.01 {
+			t.Errorf("%.4f of the steady tenant's requests were refused", refusedShare)
 		}
-		if time.Duration(loud.slowestRefusal.Load()) > 50*time.Millisecond {
-			t.Errorf("a refusal took %s", time.Duration(loud.slowestRefusal.Load()))
+		if time.Duration(flooding.slowestRefusal.Load()) > 50*time.Millisecond {
+			t.Errorf("a refusal took %s", time.Duration(flooding.slowestRefusal.Load()))
 		}
 		if ran < 17600*9/10 {
-			t.Errorf("only %d ran", ran)
+			t.Errorf("only %d requests ran", ran)
 		}
 	})
 }
 
-// TestWaitsInOrderOfDeadlines fills the only place and lets three wait: they run
-// in the order of their deadlines, not of their coming.
-func TestWaitsInOrderOfDeadlines(t *testing.T) {
+// TestQueueIsOrderedByDeadline takes the only slot and queues three requests: they
+// must run in the order of their deadlines, not of their arrival.
+func TestQueueIsOrderedByDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := New(Config{Capacity: fixed(1)})
+		a := New(Config{Capacity: fixedCapacity(1)})
 		options := func(d time.Duration) Options {
 			return Options{Service: "s", Tenant: "t", Weight: 1, Deadline: time.Now().Add(d)}
 		}
@@ -98,7 +99,7 @@
 		var group sync.WaitGroup
 		for _, d := range []time.Duration{300, 100, 200} {
 			group.Go(func() {
-				next, err := a.Admit(context.Background(), options(d*time.Millisecond))
+				releaseNext, err := a.Admit(context.Background(), options(d*time.Millisecond))
 				if err != nil {
 					t.Error(err)
 					return
@@ -106,7 +107,7 @@
 				mu.Lock()
 				order = append(order, d)
 				mu.Unlock()
-				next()
+				releaseNext()
 			})
 			synctest.Wait()
 		}
@@ -120,19 +121,19 @@
 
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name     string
-		config   Config
-		options  Options
-		held     int
-		slowest  time.Duration
-		rate     bool
-		canceled bool
+		name      string
+		config    Config
+		options   Options
+		earlier   int
+		maxDelay  time.Duration
+		rateLimit bool
+		canceled  bool
 	}{
-		{"no upstream", Config{Capacity: fixed(0)}, Options{}, 0, defaultMaxWait + pumpInterval, false, false},
-		{"full", Config{Capacity: fixed(1)}, Options{}, 1, defaultMaxWait + pumpInterval, false, false},
-		{"queue full", Config{Capacity: fixed(1), QueueLimit: 1}, Options{}, 2, 0, false, false},
-		{"above its rate", Config{Capacity: fixed(8)}, Options{Rate: 1, Burst: 1}, 1, 0, true, false},
-		{"caller gone", Config{Capacity: fixed(1)}, Options{}, 1, 0, false, true},
+		{"no upstream", Config{Capacity: fixedCapacity(0)}, Options{}, 0, defaultMaxWait + dispatchInterval, false, false},
+		{"full", Config{Capacity: fixedCapacity(1)}, Options{}, 1, defaultMaxWait + dispatchInterval, false, false},
+		{"queue full", Config{Capacity: fixedCapacity(1), QueueLimit: 1}, Options{}, 2, 0, false, false},
+		{"rate limit exceeded", Config{Capacity: fixedCapacity(8)}, Options{Rate: 1, Burst: 1}, 1, 0, true, false},
+		{"caller disconnected", Config{Capacity: fixedCapacity(1)}, Options{}, 1, 0, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -140,7 +141,7 @@
 				a := New(c.config)
 				o := c.options
 				o.Service, o.Tenant, o.Weight, o.Deadline = "s", "t", 1, time.Now().Add(time.Second)
-				for range c.held {
+				for range c.earlier {
 					go func() {
 						if release, err := a.Admit(context.Background(), o); err == nil {
 							time.Sleep(time.Second)
@@ -154,32 +155,32 @@
 				if c.canceled {
 					cancel()
 				}
-				began := time.Now()
+				start := time.Now()
 				_, err := a.Admit(ctx, o)
 				var refused ErrRefused
-				if !errors.As(err, &refused) || refused.RetryAfter <= 0 || refused.RateLimit != c.rate {
+				if !errors.As(err, &refused) || refused.RetryAfter <= 0 || refused.RateLimit != c.rateLimit {
 					t.Fatalf("got %v", err)
 				}
-				if took := time.Since(began); took > c.slowest {
+				if took := time.Since(start); took > c.maxDelay {
 					t.Errorf("refused after %s", took)
 				}
-				time.Sleep(2 * time.Second) // the held ones end
+				time.Sleep(2 * time.Second) // wait for the earlier requests to end
 			})
 		})
 	}
 }
 
-// TestNeverAboveCapacity lets random requests come and go: those that run never
-// exceed the capacity, and none is lost: at the end nothing runs or waits.
-func TestNeverAboveCapacity(t *testing.T) {
+// TestCapacityNeverExceeded sends random requests: the running ones must never
+// exceed the capacity, and at the end none may be left running or waiting.
+func TestCapacityNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		capacity := rapid.IntRange(0, 4).Draw(rt, "capacity")
-		holds := rapid.SliceOfN(rapid.IntRange(0, 30), 1, 40).Draw(rt, "holds")
+		serviceTimes := rapid.SliceOfN(rapid.IntRange(0, 30), 1, 40).Draw(rt, "service times")
 		synctest.Test(t, func(*testing.T) {
-			a := New(Config{Capacity: fixed(capacity), QueueLimit: 5})
+			a := New(Config{Capacity: fixedCapacity(capacity), QueueLimit: 5})
 			var running, most atomic.Int64
 			var group sync.WaitGroup
-			for i, hold := range holds {
+			for i, serviceTime := range serviceTimes {
 				time.Sleep(time.Duration(i%4) * time.Millisecond)
 				group.Go(func() {
 					ctx, cancel := context.WithTimeout(context.Background(), time.Duration(20+i)*time.Millisecond)
@@ -192,7 +193,7 @@
 						return
 					}
 					most.Store(max(most.Load(), running.Add(1)))
-					time.Sleep(time.Duration(hold) * time.Millisecond)
+					time.Sleep(time.Duration(serviceTime) * time.Millisecond)
 					running.Add(-1)
 					release()
 				})
--- a/internal/request/admitter/queue.go
+++ b/internal/request/admitter/queue.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	minWeight = 0.01
-	firstHold = time.Millisecond // before anything was measured
+	minWeight          = 0.01
+	initialServiceTime = time.Millisecond // assumed until a request has been measured
 )
 
-// waiter is a request in a queue.
+// waiter is a request waiting in a queue.
 type waiter struct {
 	tenant   *tenantQueue
 	deadline time.Time
-	limit    time.Time // refused if not granted before
+	expiry   time.Time // refused if not admitted before
 	result   chan error
 }
 
-// tenantQueue holds the waiting requests of one tenant in the order of their
-// deadlines.
+// tenantQueue holds the waiting requests of one tenant, ordered by deadline.
 type tenantQueue struct {
 	weight  float64
 	inUse   int
 	waiters []*waiter
 }
 
-// queue is the competition for one service. The Admitter's lock guards it.
+// queue holds the waiting requests of one service by tenant. It is guarded by
+// Admitter.mu.
 type queue struct {
-	tenants map[string]*tenantQueue
-	inUse   int
-	waiting int
-	hold    time.Duration // moving mean of the time that a request takes
+	tenants     map[string]*tenantQueue
+	inUse       int
+	waiting     int
+	serviceTime time.Duration // exponentially weighted moving average of the duration of a request
 }
 
 func (q *queue) tenantOf(name string, weight float64) *tenantQueue {
@@ -45,19 +45,19 @@
 	return t
 }
 
-func (q *queue) grant(t *tenantQueue) {
+func (q *queue) acquire(t *tenantQueue) {
 	t.inUse++
 	q.inUse++
 }
 
-func (q *queue) release(t *tenantQueue, held time.Duration) {
+func (q *queue) release(t *tenantQueue, took time.Duration) {
 	t.inUse--
 	q.inUse--
-	if q.hold == 0 {
-		q.hold = held
+	if q.serviceTime == 0 {
+		q.serviceTime = took
 		return
 	}
-	q.hold += (held - q.hold) / holdWeight
+	q.serviceTime += (took - q.serviceTime) / ewmaDivisor
 }
 
 func (q *queue) push(w *waiter) {
@@ -83,30 +83,30 @@
 	return w
 }
 
-func (q *queue) removeLate(now time.Time) []*waiter {
-	var late []*waiter
+func (q *queue) removeExpired(now time.Time) []*waiter {
+	var expired []*waiter
 	for _, t := range q.tenants {
 		for _, w := range t.waiters {
-			if !now.Before(w.limit) {
-				late = append(late, w)
+			if !now.Before(w.expiry) {
+				expired = append(expired, w)
 			}
 		}
 	}
-	for _, w := range late {
+	for _, w := range expired {
 		q.remove(w)
 	}
-	return late
+	return expired
 }
 
-// popNext takes the earliest deadline of the tenant that runs the least for its
-// weight.
+// popNext removes and returns the request with the earliest deadline of the tenant
+// that has the fewest running requests relative to its weight.
 func (q *queue) popNext() *waiter {
 	var next *tenantQueue
 	for _, t := range q.tenants {
 		if len(t.waiters) == 0 {
 			continue
 		}
-		if next == nil || before(t, next) {
+		if next == nil || servedBefore(t, next) {
 			next = t
 		}
 	}
@@ -118,7 +118,9 @@
 	return w
 }
 
-func before(a, b *tenantQueue) bool {
+// servedBefore reports whether tenant a is served before tenant b: the one with
+// fewer running requests relative to its weight, else the earlier deadline.
+func servedBefore(a, b *tenantQueue) bool {
 	shareA, shareB := float64(a.inUse)/a.weight, float64(b.inUse)/b.weight
 	if shareA != shareB {
 		return shareA < shareB
@@ -126,31 +128,33 @@
 	return a.waiters[0].deadline.Before(b.waiters[0].deadline)
 }
 
-func (q *queue) heaviest() *tenantQueue {
-	var most *tenantQueue
+// largestBacklog returns the tenant with the most waiting requests relative to its
+// weight, or nil if none is waiting.
+func (q *queue) largestBacklog() *tenantQueue {
+	var largest *tenantQueue
 	for _, t := range q.tenants {
-		if len(t.waiters) > 0 && (most == nil || float64(len(t.waiters))/t.weight > float64(len(most.waiters))/most.weight) {
-			most = t
+		if len(t.waiters) > 0 && (largest == nil || float64(len(t.waiters))/t.weight > float64(len(largest.waiters))/largest.weight) {
+			largest = t
 		}
 	}
-	return most
+	return largest
 }
 
-// expectedWait estimates how long one more request of the tenant would wait: the
-// tenant's waiting requests, served at its share of the rate at which requests
-// end. A tenant that runs less than its share is served next, whatever others
-// have waiting.
+// expectedWait estimates how long one more request of the tenant would wait: its
+// waiting requests are served at the tenant's share of the rate at which requests
+// end. A tenant that uses less than its share is served next, however many requests
+// of other tenants are waiting.
 func (q *queue) expectedWait(t *tenantQueue, capacity int) time.Duration {
 	if capacity <= 0 {
-		return 0 // nothing is known about how long; the wait is bounded
+		return 0 // the wait can't be estimated; MaxWait bounds it
 	}
 	weights := t.weight
-	for _, o := range q.tenants {
-		if o != t && (o.inUse > 0 || len(o.waiters) > 0) {
-			weights += o.weight
+	for _, other := range q.tenants {
+		if other != t && (other.inUse > 0 || len(other.waiters) > 0) {
+			weights += other.weight
 		}
 	}
-	rate := float64(capacity) * t.weight / weights // requests per hold
-	hold := max(q.hold, firstHold)
-	return time.Duration(float64(len(t.waiters)+1) / rate * float64(hold))
+	rate := float64(capacity) * t.weight / weights // requests per service time
+	serviceTime := max(q.serviceTime, initialServiceTime)
+	return time.Duration(float64(len(t.waiters)+1) / rate * float64(serviceTime))
 }
