--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -1,6 +1,6 @@
-// Package claimer makes sure that keyed requests which are not idempotent run at
-// most once over all entries: it asks the owner of the cell for the claim on the
-// key before anything is sent, and tells it the end afterwards.
+// Package claimer ensures that a request with an idempotency key that is not
+// idempotent runs at most once across all entries: it claims the key at the owner of
+// the cell before anything is sent, and reports the outcome to the owner afterwards.
 package claimer
 
 import (
@@ -19,20 +19,21 @@
 )
 
 const (
-	// MaxKeptBytes is the largest body kept for repeats of a key.
-	MaxKeptBytes  = 16 << 10
-	claimTryLimit = time.Second
-	awayTryLimit  = 100 * time.Millisecond
-	// awayLimit is how long a claim is asked for again while the owner says that
-	// it can't give one, as in a store outage. A request that waits holds a
-	// place that others could use, and is answered at once when given up.
-	awayLimit      = 250 * time.Millisecond
-	awayMemory     = time.Second // claims are asked for just once this long after one was given up
-	claimPause     = 20 * time.Millisecond
-	settleTryLimit = 2 * time.Second
-	settleLimit    = 30 * time.Second
-	firstPause     = 20 * time.Millisecond
-	longestPause   = time.Second
+	// MaxKeptBodyBytes is the size of the largest answer body that is kept for
+	// repeats of a key.
+	MaxKeptBodyBytes          = 16 << 10
+	claimAttemptTimeout       = time.Second
+	unavailableAttemptTimeout = 100 * time.Millisecond
+	// claimRetryPeriod bounds the retries of a claim while the owner can't grant
+	// any, as in a store outage. A waiting request occupies a slot that others
+	// could use, and gets its answer as soon as the claim is abandoned.
+	claimRetryPeriod      = 250 * time.Millisecond
+	unavailablePeriod     = time.Second // for this time after an abandoned claim, claims are not retried
+	claimBackoff          = 20 * time.Millisecond
+	resolveAttemptTimeout = 2 * time.Second
+	resolveTimeout        = 30 * time.Second
+	minBackoff            = 20 * time.Millisecond
+	maxBackoff            = time.Second
 )
 
 // Config holds the settings of a Claimer.
@@ -42,16 +43,16 @@
 	Reporter *reporter.Reporter
 }
 
-// Claimer claims keys. It is safe for concurrent use.
+// Claimer claims idempotency keys. It is safe for concurrent use.
 type Claimer struct {
-	config  Config
-	mu      sync.Mutex
-	pending int
-	away    time.Time     // when a claim was last given up because the owner was away
-	idle    chan struct{} // closed and replaced when pending falls to zero
+	config        Config
+	mu            sync.Mutex
+	pending       int
+	unavailableAt time.Time     // when a claim was last abandoned because the owner was unavailable
+	idle          chan struct{} // closed and replaced when pending falls to zero
 }
 
-// Options describes the keyed request.
+// Options describes a request with an idempotency key.
 type Options struct {
 	Tenant    string
 	Service   string
@@ -60,7 +61,7 @@
 	RequestID string
 }
 
-// ErrNoClaim is returned when the claim could not be had: nothing was sent to an
+// ErrNoClaim is returned if the key could not be claimed; nothing was sent to an
 // upstream.
 type ErrNoClaim struct{ Cause error }
 
@@ -75,88 +76,89 @@
 	return &Claimer{config: c, idle: make(chan struct{})}
 }
 
-// Digest returns the digest of what a key stands for.
+// Digest returns the digest of the request that a key belongs to.
 func Digest(service, method, path string, body []byte) string {
 	h := sha256.New()
 	for _, part := range []string{service, method, path} {
 		fmt.Fprintf(h, "%d:", len(part))
-		_, _ = io.WriteString(h, part) // a hash takes everything
+		_, _ = io.WriteString(h, part) // a hash never returns an error
 	}
 	h.Write(body)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Claim asks for the claim for a bounded time. Asking again with the same request
-// id is safe after a lost answer: the owner grants it to the same id again.
+// Claim claims the key, with retries for a bounded time. A retry after a lost answer
+// is safe: the owner grants the claim to the same request id again.
 func (c *Claimer) Claim(ctx context.Context, o Options) (messenger.ClaimReply, error) {
 	req := messenger.ClaimRequest{
 		Cell: c.config.Cell, Tenant: o.Tenant, Service: o.Service, Key: o.Key,
 		Digest: o.Digest, RequestID: o.RequestID,
 	}
-	began := time.Now()
-	patience, tryLimit := awayLimit, claimTryLimit
-	if c.isAway(began) {
-		patience, tryLimit = 0, awayTryLimit
+	start := time.Now()
+	retryPeriod, attemptTimeout := claimRetryPeriod, claimAttemptTimeout
+	if c.ownerUnavailable(start) {
+		retryPeriod, attemptTimeout = 0, unavailableAttemptTimeout
 	}
-	pause := claimPause
-	uncertain := false
+	backoff := claimBackoff
+	maybeGranted := false
 	for {
 		var reply messenger.ClaimReply
-		try, cancel := context.WithTimeout(ctx, tryLimit)
-		err := c.config.CallCell(try, c.config.Cell, messenger.MethodClaim, req, &reply)
+		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
+		err := c.config.CallCell(attempt, c.config.Cell, messenger.MethodClaim, req, &reply)
 		cancel()
 		if err == nil {
-			c.setAway(time.Time{})
+			c.setUnavailableAt(time.Time{})
 			return reply, nil
 		}
 		code := connector.CodeOf(err)
-		uncertain = uncertain || code == 0 || code == messenger.CodeUnknown
-		wrong := code == messenger.CodeBadRequest
-		if wrong || time.Since(began) >= patience || !sleep(ctx, pause) {
-			if !wrong {
-				c.setAway(time.Now())
+		maybeGranted = maybeGranted || code == 0 || code == messenger.CodeUnknown
+		invalid := code == messenger.CodeBadRequest
+		if invalid || time.Since(start) >= retryPeriod || !sleep(ctx, backoff) {
+			if !invalid {
+				c.setUnavailableAt(time.Now())
 			}
-			if uncertain {
-				// The owner may hold the claim for us. Nothing was sent, so it
-				// is freed; else all repeats of the key would be refused.
-				c.Settle(o, messenger.OutcomeNotRun, nil)
+			if maybeGranted {
+				// The owner may have granted the claim. Nothing was sent, so the
+				// claim is released; otherwise all repeats of the key would be
+				// refused.
+				c.Resolve(o, messenger.OutcomeNotRun, nil)
 			}
 			return messenger.ClaimReply{}, ErrNoClaim{Cause: err}
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (c *Claimer) isAway(now time.Time) bool {
+func (c *Claimer) ownerUnavailable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.away.IsZero() && now.Sub(c.away) < awayMemory
+	return !c.unavailableAt.IsZero() && now.Sub(c.unavailableAt) < unavailablePeriod
 }
 
-func (c *Claimer) setAway(at time.Time) {
+func (c *Claimer) setUnavailableAt(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.away = at
+	c.unavailableAt = at
 }
 
-// Settle tells the owner how the request ended and returns a channel that is
-// closed when the owner knows or telling it was given up. It repeats in the
-// background: until the owner knows, repeats of the key are refused, so a lost
-// settlement never lets a request run twice.
-func (c *Claimer) Settle(o Options, outcome messenger.Outcome, answer *messenger.KeptAnswer) <-chan struct{} {
+// Resolve reports the outcome of the request to the owner, with retries in the
+// background. The returned channel is closed when the owner has acknowledged it or
+// the retries have ended. Until the owner has the outcome it refuses repeats of the
+// key, so a lost report can't make a request run twice.
+func (c *Claimer) Resolve(o Options, outcome messenger.Outcome, answer *messenger.KeptAnswer) <-chan struct{} {
 	req := messenger.SettleRequest{
 		Cell: c.config.Cell, Tenant: o.Tenant, Key: o.Key, RequestID: o.RequestID,
-		Outcome: outcome, Answer: keep(answer),
+		Outcome: outcome, Answer: copyForReplay(answer),
 	}
 	done := make(chan struct{})
 	c.mu.Lock()
 	c.pending++
 	c.mu.Unlock()
 	go func() {
-		defer c.settled(done)
-		ctx, cancel := context.WithTimeout(context.Background(), settleLimit)
+		defer c.finish(done)
+		ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 		defer cancel()
-		if err := c.settle(ctx, req); err != nil {
+		if err := c.sendOutcome(ctx, req); err != nil {
 			c.config.Reporter.Report(reporter.ClaimUnsettled, reporter.Fields{
 				"tenant": o.Tenant, "service": o.Service, "request-id": o.RequestID, "error": err.Error(),
 			})
@@ -165,23 +167,23 @@
 	return done
 }
 
-func (c *Claimer) settle(ctx context.Context, req messenger.SettleRequest) error {
-	pause := firstPause
+func (c *Claimer) sendOutcome(ctx context.Context, req messenger.SettleRequest) error {
+	backoff := minBackoff
 	for {
-		try, cancel := context.WithTimeout(ctx, settleTryLimit)
-		err := c.config.CallCell(try, c.config.Cell, messenger.MethodSettle, req, &messenger.Empty{})
+		attempt, cancel := context.WithTimeout(ctx, resolveAttemptTimeout)
+		err := c.config.CallCell(attempt, c.config.Cell, messenger.MethodSettle, req, &messenger.Empty{})
 		cancel()
 		if err == nil || connector.CodeOf(err) == messenger.CodeBadRequest {
 			return err
 		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, backoff) {
 			return errors.Join(err, ctx.Err())
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (c *Claimer) settled(done chan struct{}) {
+func (c *Claimer) finish(done chan struct{}) {
 	close(done)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +194,8 @@
 	}
 }
 
-// Drain waits until every settlement is told or given up.
+// Drain waits until every outcome has been acknowledged by the owner or its retries
+// have ended.
 func (c *Claimer) Drain(ctx context.Context) error {
 	for {
 		c.mu.Lock()
@@ -204,25 +207,27 @@
 		select {
 		case <-idle:
 		case <-ctx.Done():
-			return fmt.Errorf("%d claims unsettled: %w", pending, ctx.Err())
+			return fmt.Errorf("outcomes of %d claims not reported: %w", pending, ctx.Err())
 		}
 	}
 }
 
-func keep(a *messenger.KeptAnswer) *messenger.KeptAnswer {
+// copyForReplay returns the part of an answer that is kept for repeats of the key.
+func copyForReplay(a *messenger.KeptAnswer) *messenger.KeptAnswer {
 	if a == nil {
 		return nil
 	}
 	kept := *a
 	kept.Header = a.Header.Clone()
-	kept.Header.Del("X-Request-Id") // of the first request; a repeat has its own
-	kept.Whole = len(a.Body) <= MaxKeptBytes
+	kept.Header.Del("X-Request-Id") // belongs to the first request; a repeat has its own
+	kept.Whole = len(a.Body) <= MaxKeptBodyBytes
 	if !kept.Whole {
 		kept.Body = nil
 	}
 	return &kept
 }
 
+// sleep waits for d and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -15,15 +15,16 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// owner answers calls from a list of errors, then well, and notes them.
-type owner struct {
-	mu     sync.Mutex
-	errs   []error
-	claims []messenger.ClaimRequest
-	ends   []messenger.SettleRequest
+// fakeOwner records the calls. It answers with the listed errors in turn and then
+// with success.
+type fakeOwner struct {
+	mu       sync.Mutex
+	errs     []error
+	claims   []messenger.ClaimRequest
+	resolved []messenger.SettleRequest
 }
 
-func (o *owner) call(_ context.Context, _, _ string, params, result any) error {
+func (o *fakeOwner) call(_ context.Context, _, _ string, params, result any) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch p := params.(type) {
@@ -31,7 +32,7 @@
 		o.claims = append(o.claims, p)
 		*result.(*messenger.ClaimReply) = messenger.ClaimReply{State: messenger.ClaimGranted}
 	case messenger.SettleRequest:
-		o.ends = append(o.ends, p)
+		o.resolved = append(o.resolved, p)
 	}
 	if len(o.errs) > 0 {
 		err := o.errs[0]
@@ -42,47 +43,47 @@
 }
 
 var (
-	errLost = errors.New("connection lost")
-	errAway = connector.Errorf(messenger.CodeUnavailable, "away")
-	errBad  = connector.Errorf(messenger.CodeBadRequest, "bad")
+	errLost        = errors.New("connection lost")
+	errUnavailable = connector.Errorf(messenger.CodeUnavailable, "the owner is unavailable")
+	errInvalid     = connector.Errorf(messenger.CodeBadRequest, "invalid request")
 )
 
-// TestClaim has the owner fail in turn. A claim is asked for again under the same
-// request id; given up after a lost answer it is freed, since the owner may hold
-// it for a request that was never sent.
+// TestClaim checks the retries of a claim: each uses the same request id, and a claim
+// that is abandoned after a lost answer is released, since the owner may have granted
+// it to a request that was never sent.
 func TestClaim(t *testing.T) {
 	cases := []struct {
-		name    string
-		errs    []error
-		granted bool
-		claims  int
-		ends    int
+		name     string
+		errs     []error
+		granted  bool
+		claims   int
+		resolved int
 	}{
-		{"at once", nil, true, 1, 0},
+		{"first attempt", nil, true, 1, 0},
 		{"after a lost answer", []error{errLost}, true, 2, 0},
-		{"after being away", []error{errAway, errAway}, true, 3, 0},
-		{"refused", []error{errBad}, false, 1, 0},
-		{"lost, then refused", []error{errLost, errBad}, false, 2, 1},
-		{"away for good", []error{errAway, errAway, errAway, errAway, errAway, errAway, errAway, errAway}, false, 5, 0},
+		{"after an unavailable owner", []error{errUnavailable, errUnavailable}, true, 3, 0},
+		{"refused", []error{errInvalid}, false, 1, 0},
+		{"lost, then refused", []error{errLost, errInvalid}, false, 2, 1},
+		{"owner stays unavailable", []error{errUnavailable, errUnavailable, errUnavailable, errUnavailable, errUnavailable, errUnavailable, errUnavailable, errUnavailable}, false, 5, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := &owner{errs: c.errs}
+				o := &fakeOwner{errs: c.errs}
 				claims := New(Config{Cell: "main", CallCell: o.call})
 				_, err := claims.Claim(context.Background(), Options{Key: "k", RequestID: "r1"})
 				if (err == nil) != c.granted {
-					t.Errorf("got %v", err)
+					t.Errorf("got error %v, want granted %v", err, c.granted)
 				}
 				if err := claims.Drain(context.Background()); err != nil {
 					t.Error(err)
 				}
-				if len(o.claims) != c.claims || len(o.ends) != c.ends {
-					t.Errorf("%d claims, %d settlements", len(o.claims), len(o.ends))
+				if len(o.claims) != c.claims || len(o.resolved) != c.resolved {
+					t.Errorf("%d claims, %d outcomes reported", len(o.claims), len(o.resolved))
 				}
 				for _, r := range o.claims {
 					if r.RequestID != "r1" {
-						t.Errorf("claimed as %s", r.RequestID)
+						t.Errorf("claimed with the request id %s", r.RequestID)
 					}
 				}
 			})
@@ -90,22 +91,23 @@
 	}
 }
 
-// TestAwayOwnerIsAskedOnce has the owner away, as in a store outage. The first
-// claim is asked for a while; later ones are refused at once, until it is back.
-func TestAwayOwnerIsAskedOnce(t *testing.T) {
+// TestUnavailableOwnerIsAskedOnce keeps the owner unavailable, as in a store outage.
+// The first claim is retried for a while; later ones must fail immediately until the
+// owner is available again.
+func TestUnavailableOwnerIsAskedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owner{}
+		o := &fakeOwner{}
 		for range 20 {
-			o.errs = append(o.errs, errAway)
+			o.errs = append(o.errs, errUnavailable)
 		}
 		claims := New(Config{CallCell: o.call})
 		for i, want := range []int{5, 6, 7} {
-			began := time.Now()
+			start := time.Now()
 			if _, err := claims.Claim(context.Background(), Options{Key: "k", RequestID: "r"}); err == nil {
-				t.Fatal("granted")
+				t.Fatal("granted by an unavailable owner")
 			}
-			if took := time.Since(began); len(o.claims) != want || (i > 0 && took > 0) {
-				t.Errorf("claim %d: asked %d times in all, took %s", i, len(o.claims), took)
+			if took := time.Since(start); len(o.claims) != want || (i > 0 && took > 0) {
+				t.Errorf("claim %d: %d calls in total, took %s", i, len(o.claims), took)
 			}
 		}
 		o.errs = nil
@@ -115,33 +117,33 @@
 	})
 }
 
-// TestSettleRepeats loses the owner for some seconds: the end of the request must
-// still reach it, and a drain waits for that.
-func TestSettleRepeats(t *testing.T) {
+// TestResolveIsRetried fails the first calls to the owner: the outcome of the request
+// must still reach it, and Drain must wait for that.
+func TestResolveIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owner{errs: []error{errLost, errAway, errAway, errAway, errAway}}
+		o := &fakeOwner{errs: []error{errLost, errUnavailable, errUnavailable, errUnavailable, errUnavailable}}
 		claims := New(Config{CallCell: o.call})
-		body := []byte(strings.Repeat("x", MaxKeptBytes+1))
-		claims.Settle(Options{Key: "k", RequestID: "r1"}, messenger.OutcomeRun, &messenger.KeptAnswer{Status: 200, Body: body})
+		body := []byte(strings.Repeat("x", MaxKeptBodyBytes+1))
+		claims.Resolve(Options{Key: "k", RequestID: "r1"}, messenger.OutcomeRun, &messenger.KeptAnswer{Status: 200, Body: body})
 		if err := claims.Drain(context.Background()); err != nil {
 			t.Error(err)
 		}
-		if len(o.ends) != 6 {
-			t.Errorf("told %d times", len(o.ends))
+		if len(o.resolved) != 6 {
+			t.Errorf("outcome reported %d times", len(o.resolved))
 		}
-		want := &messenger.KeptAnswer{Status: 200} // too large to be kept: not whole
-		if diff := cmp.Diff(want, o.ends[5].Answer); diff != "" {
+		want := &messenger.KeptAnswer{Status: 200} // the body is too large to be kept, so the answer is not whole
+		if diff := cmp.Diff(want, o.resolved[5].Answer); diff != "" {
 			t.Error(diff)
 		}
 	})
 }
 
-func TestDigestTellsPartsApart(t *testing.T) {
+func TestDigestSeparatesParts(t *testing.T) {
 	seen := make(map[string]int)
 	for i, parts := range [][3]string{{"s", "POST", "/a"}, {"sP", "OST", "/a"}, {"s", "POST", "/"}, {"s", "PUT", "/a"}} {
 		d := Digest(parts[0], parts[1], parts[2], []byte("a"))
 		if j, twice := seen[d]; twice {
-			t.Errorf("%d and %d are the same", i, j)
+			t.Errorf("requests %d and %d have the same digest", j, i)
 		}
 		seen[d] = i
 	}
--- a/internal/request/receiver/serve.go
+++ b/internal/request/receiver/serve.go
@@ -115,13 +115,13 @@
 		if a.outcome != messenger.OutcomeRun {
 			kept = nil
 		}
-		r.claimer.Settle(options, a.outcome, kept)
+		r.claimer.Resolve(options, a.outcome, kept)
 		return
 	}
 	timer := time.NewTimer(min(settleWait, time.Until(c.deadline)))
 	defer timer.Stop()
 	select {
-	case <-r.claimer.Settle(options, a.outcome, nil):
+	case <-r.claimer.Resolve(options, a.outcome, nil):
 	case <-timer.C:
 	case <-ctx.Done():
 	}
