--- a/internal/request/receiver/route.go
+++ b/internal/request/receiver/route.go
@@ -46,7 +46,7 @@
 
 // route sends the request to upstreams until one answers or it is given up.
 func (r *Receiver) route(ctx context.Context, c *call) *answer {
-	r.retrier.Begin(c.service.Name)
+	r.retrier.CountRequest(c.service.Name)
 	j := &journey{tried: make(map[string]bool)}
 	for {
 		u := r.choose(c, j)
@@ -69,9 +69,9 @@
 		} else {
 			j.tries++
 		}
-		again := ctx.Err() == nil && r.retrier.MaySend(retrier.Attempted{
+		again := ctx.Err() == nil && r.retrier.AllowRetry(retrier.FailedAttempt{
 			Service: c.service.Name, Outcome: outcome, Idempotent: c.idempotent,
-			Moves: r.countedMoves(c, j), Tries: j.tries, Left: c.deadline.Sub(r.config.Now()),
+			NotRunAttempts: r.countedMoves(c, j), UnknownAttempts: j.tries, TimeLeft: c.deadline.Sub(r.config.Now()),
 		})
 		if !again {
 			return j.giveUp(ctx)
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	fakeSlots   = 88
-	fakeWork    = 10 * time.Millisecond
-	fakePatient = 100 * time.Millisecond // an attempt is given up after this
-	fakeLoad    = 0.6
-	fakeRun     = 8 * time.Second
-	stallBegins = 2 * time.Second
-	stallEnds   = 3 * time.Second
-	settledFrom = 5 * time.Second // judged from here on
+	fakeSlots          = 88
+	fakeWork           = 10 * time.Millisecond
+	fakeAttemptTimeout = 100 * time.Millisecond // an attempt is abandoned after it
+	fakeLoad           = 0.6
+	fakeDuration       = 8 * time.Second
+	stallBegins        = 2 * time.Second
+	stallEnds          = 3 * time.Second
+	measureFrom        = 5 * time.Second // answers are counted from here on
 )
 
-// stall sends idempotent requests to a pool of slots that stands still for a
-// second. Attempts that were given up still take their turn, as at an upstream
-// that cannot know. It returns attempts per request, and the share answered in
-// time well after the stall.
-func stall(t *testing.T, mayRetry func(r *Retrier, tries int) bool) (attempts, answered float64) {
+// simulateStall sends idempotent requests to a pool of slots that stalls for a second.
+// Abandoned attempts still occupy a slot, as at an upstream that is not notified of
+// them. It returns the attempts per request, and the share of the requests that is
+// answered in time from measureFrom on.
+func simulateStall(t *testing.T, mayRetry func(r *Retrier, tries int) bool) (attempts, answered float64) {
 	synctest.Test(t, func(*testing.T) {
 		random := rand.New(rand.NewPCG(5, 6))
 		slots := make(chan struct{}, fakeSlots)
 		r := New(Config{})
-		began := time.Now()
+		start := time.Now()
 		var mu sync.Mutex
-		sent, tried, judged, good := 0, 0, 0, 0
+		sent, made, measured, measuredAnswered := 0, 0, 0, 0
 		attempt := func() bool {
 			done := make(chan struct{})
 			go func() {
 				slots <- struct{}{}
-				if at := time.Since(began); at > stallBegins && at < stallEnds {
+				if at := time.Since(start); at > stallBegins && at < stallEnds {
 					time.Sleep(stallEnds - at)
 				}
 				time.Sleep(fakeWork)
@@ -47,20 +47,20 @@
 			select {
 			case <-done:
 				return true
-			case <-time.After(fakePatient):
+			case <-time.After(fakeAttemptTimeout):
 				return false
 			}
 		}
 		var group sync.WaitGroup
-		for time.Since(began) < fakeRun {
+		for time.Since(start) < fakeDuration {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(fakeWork) / (fakeSlots * fakeLoad)))
-			late := time.Since(began) > settledFrom
+			measure := time.Since(start) > measureFrom
 			group.Go(func() {
-				r.Begin("s")
+				r.CountRequest("s")
 				ok := false
 				for tries := 1; ; tries++ {
 					mu.Lock()
-					tried++
+					made++
 					mu.Unlock()
 					if ok = attempt(); ok || !mayRetry(r, tries) {
 						break
@@ -69,16 +69,16 @@
 				mu.Lock()
 				defer mu.Unlock()
 				sent++
-				if late {
-					judged++
+				if measure {
+					measured++
 					if ok {
-						good++
+						measuredAnswered++
 					}
 				}
 			})
 		}
 		group.Wait()
-		attempts, answered = float64(tried)/float64(sent), float64(good)/float64(judged)
+		attempts, answered = float64(made)/float64(sent), float64(measuredAnswered)/float64(measured)
 		for len(slots) > 0 {
 			time.Sleep(time.Second)
 		}
@@ -86,21 +86,21 @@
 	return attempts, answered
 }
 
-// TestBudgetKeepsAStallShort compares retries without a budget, none, and with
-// the budget, in virtual time at 0.6 of the capacity. Without a budget each
-// request given up comes three times, the pool falls further behind than it can
-// make good, and it stays so long after the stall.
-func TestBudgetKeepsAStallShort(t *testing.T) {
-	unknown := func(tries int) Attempted {
-		return Attempted{Service: "s", Outcome: messenger.OutcomeUnknown, Idempotent: true, Tries: tries, Left: time.Second}
+// TestBudgetShortensRecoveryFromStall compares retries without a budget, no retries,
+// and retries with the budget, in virtual time at 0.6 of the capacity. Without a
+// budget each abandoned request is sent three times, the backlog grows faster than the
+// pool can work it off, and the overload lasts long after the stall.
+func TestBudgetShortensRecoveryFromStall(t *testing.T) {
+	unanswered := func(tries int) FailedAttempt {
+		return FailedAttempt{Service: "s", Outcome: messenger.OutcomeUnknown, Idempotent: true, UnknownAttempts: tries, TimeLeft: time.Second}
 	}
-	free, freeAnswered := stall(t, func(_ *Retrier, tries int) bool { return tries < defaultMaxTries })
-	none, noneAnswered := stall(t, func(*Retrier, int) bool { return false })
-	used, usedAnswered := stall(t, func(r *Retrier, tries int) bool { return r.MaySend(unknown(tries)) })
-	t.Logf("no budget: %.2f attempts a request, %.3f answered from 2 s after the stall", free, freeAnswered)
-	t.Logf("no retry:  %.2f attempts a request, %.3f answered", none, noneAnswered)
-	t.Logf("budget:    %.2f attempts a request, %.3f answered", used, usedAnswered)
-	if used > 1.15 || usedAnswered < freeAnswered || usedAnswered < 0.9 {
-		t.Errorf("with the budget %.2f attempts a request, %.3f answered", used, usedAnswered)
+	unbounded, unboundedAnswered := simulateStall(t, func(_ *Retrier, tries int) bool { return tries < defaultMaxUnknownAttempts })
+	noRetry, noRetryAnswered := simulateStall(t, func(*Retrier, int) bool { return false })
+	budgeted, budgetedAnswered := simulateStall(t, func(r *Retrier, tries int) bool { return r.AllowRetry(unanswered(tries)) })
+	t.Logf("no budget: %.2f attempts per request, %.3f answered from 2 s after the stall", unbounded, unboundedAnswered)
+	t.Logf("no retry:  %.2f attempts per request, %.3f answered", noRetry, noRetryAnswered)
+	t.Logf("budget:    %.2f attempts per request, %.3f answered", budgeted, budgetedAnswered)
+	if budgeted > 1.15 || budgetedAnswered < unboundedAnswered || budgetedAnswered < 0.9 {
+		t.Errorf("with the budget %.2f attempts per request, %.3f answered", budgeted, budgetedAnswered)
 	}
 }
