--- a/internal/request/receiver/receiver.go
+++ b/internal/request/receiver/receiver.go
@@ -105,7 +105,7 @@
 	for _, u := range r.config.Tracker.Snapshot().Upstreams(service) {
 		if u.Ready(now) {
 			slots += u.Slots()
-			others += min(u.OthersInFlight(), u.Slots())
+			others += min(u.OtherEntriesInFlight(), u.Slots())
 		}
 	}
 	entries := r.config.Tracker.CountEntries()
--- a/internal/request/tracker/tracker.go
+++ b/internal/request/tracker/tracker.go
@@ -1,6 +1,6 @@
-// Package tracker keeps what an entry knows of agents and their upstreams from
-// their announcements and heartbeats. One goroutine owns the sessions; traffic
-// reads immutable snapshots.
+// Package tracker tracks the agents and their upstreams by their announcements and
+// heartbeats. One goroutine owns the sessions; request handling reads immutable
+// snapshots.
 package tracker
 
 import (
@@ -19,8 +19,9 @@
 const (
 	defaultExpiry = 3 * time.Second
 	sweepInterval = 500 * time.Millisecond
-	// forgetAfter is the number of expiries after which a silent session ends.
-	forgetAfter = 10
+	// sessionExpiries is the number of Expiry periods without a heartbeat after
+	// which a session is closed.
+	sessionExpiries = 10
 )
 
 // Config holds the settings of a Tracker.
@@ -31,21 +32,21 @@
 	FleetVersion func() int64
 	Reporter     *reporter.Reporter
 	Now          func() time.Time
-	// Expiry is the silence after which an agent's upstreams take no new
-	// requests; default 3 s.
+	// Expiry is the time without a heartbeat after which an agent's upstreams are
+	// sent no new requests; default 3 s.
 	Expiry time.Duration
 }
 
-// Tracker knows the upstreams. It is safe for concurrent use.
+// Tracker tracks agents and their upstreams. It is safe for concurrent use.
 type Tracker struct {
 	config   Config
 	events   chan event
 	snapshot atomic.Pointer[Snapshot]
-	entries  atomic.Int64        // live entries when an agent was last answered
+	entries  atomic.Int64        // known entries at the last reply to an agent
 	sessions map[string]*session // owned by Run
 }
 
-// event is a change for the goroutine that owns the sessions.
+// event is a change to be applied by the goroutine that owns the sessions.
 type event struct {
 	announce  *messenger.Announce
 	heartbeat *messenger.Heartbeat
@@ -54,18 +55,18 @@
 	result    chan error
 }
 
-// session is what is known of one agent.
+// session is the state of one agent's session.
 type session struct {
-	announce  messenger.Announce
-	sequence  int64
-	conn      *connector.Conn
-	beat      *atomic.Int64 // stamp of the last heartbeat
-	upstreams map[string]*Upstream
-	awaited   *atomic.Int64
-	confirmed *atomic.Bool // a heartbeat came on the connection
+	announce      messenger.Announce
+	sequence      int64
+	conn          *connector.Conn
+	lastHeartbeat *atomic.Int64 // as returned by sinceStart
+	upstreams     map[string]*Upstream
+	outstanding   *atomic.Int64
+	confirmed     *atomic.Bool // a heartbeat was received on the connection
 }
 
-// New returns a Tracker without agents. Run must run for Handle to answer.
+// New returns a Tracker without agents. Handle only answers while Run is running.
 func New(c Config) *Tracker {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -81,7 +82,7 @@
 	return t
 }
 
-// Run owns the sessions until ctx ends.
+// Run applies events to the sessions until ctx ends.
 func (t *Tracker) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Handle answers MethodAnnounce and MethodHeartbeat.
+// Handle handles MethodAnnounce and MethodHeartbeat.
 func (t *Tracker) Handle(ctx context.Context, conn *connector.Conn, method string, params json.RawMessage) (any, error) {
 	e := event{conn: conn, result: make(chan error, 1)}
 	switch method {
@@ -117,18 +118,18 @@
 		}
 		e.heartbeat = &h
 	default:
-		return nil, connector.Errorf(messenger.CodeBadRequest, "no method %s", method)
+		return nil, connector.Errorf(messenger.CodeBadRequest, "unknown method %s", method)
 	}
-	if err := t.send(ctx, e); err != nil {
+	if err := t.submit(ctx, e); err != nil {
 		return nil, err
 	}
 	if e.announce != nil {
-		t.watch(ctx, conn)
+		t.removeOnClose(ctx, conn)
 	}
 	return t.reply(e), nil
 }
 
-func (t *Tracker) send(ctx context.Context, e event) error {
+func (t *Tracker) submit(ctx context.Context, e event) error {
 	select {
 	case t.events <- e:
 	case <-ctx.Done():
@@ -142,10 +143,11 @@
 	}
 }
 
-// watch removes the session at once when its connection ends.
-func (t *Tracker) watch(ctx context.Context, conn *connector.Conn) {
-	// The handler's context ends with the connection, whose own end is the end
-	// of this goroutine; a stopped tracker no longer takes the event.
+// removeOnClose removes the session as soon as its connection ends.
+func (t *Tracker) removeOnClose(ctx context.Context, conn *connector.Conn) {
+	// The goroutine ends with the connection. The handler's context does so too, so
+	// the event is sent without its cancellation; the timeout covers a stopped
+	// tracker, which receives no events.
 	go func() {
 		<-conn.Done()
 		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.config.Expiry)
@@ -200,28 +202,28 @@
 	a := *e.announce
 	old := t.sessions[a.AgentID]
 	if old != nil && old.announce.Incarnation > a.Incarnation {
-		return connector.Errorf(messenger.CodeBadRequest, "agent %s has a later incarnation", a.AgentID)
+		return connector.Errorf(messenger.CodeBadRequest, "agent %s: incarnation %d is older than the current one, %d", a.AgentID, a.Incarnation, old.announce.Incarnation)
 	}
-	// An announcement that was held up, on a connection that the agent has given
-	// up since, must not take the session from a later connection: heartbeats on
-	// that one would be refused and requests sent over the dead one.
+	// A delayed announcement on a connection that the agent has abandoned since must
+	// not replace the session of a later connection: heartbeats on the later one would
+	// be refused, and requests would be sent over the abandoned one.
 	if old != nil && old.announce.Incarnation == a.Incarnation && a.Sequence < old.sequence {
-		return connector.Errorf(messenger.CodeBadRequest, "agent %s has a later session", a.AgentID)
+		return connector.Errorf(messenger.CodeBadRequest, "agent %s: sequence %d is older than that of the current session, %d", a.AgentID, a.Sequence, old.sequence)
 	}
 	s := &session{
-		announce: a, conn: e.conn, beat: new(atomic.Int64), awaited: new(atomic.Int64),
+		announce: a, conn: e.conn, lastHeartbeat: new(atomic.Int64), outstanding: new(atomic.Int64),
 		confirmed: new(atomic.Bool), upstreams: make(map[string]*Upstream),
 	}
 	if old != nil && old.announce.Incarnation == a.Incarnation {
-		s.upstreams, s.awaited = old.upstreams, old.awaited
+		s.upstreams, s.outstanding = old.upstreams, old.outstanding
 	}
 	s.sequence = a.Sequence
 	t.sessions[a.AgentID] = s
-	// The upstreams take requests from the first heartbeat on, which shows that
-	// the agent got the answer and uses this connection.
-	s.beat.Store(stamp(t.config.Now()))
+	// The upstreams are sent requests only after the first heartbeat, which shows that
+	// the agent received the reply and uses this connection.
+	s.lastHeartbeat.Store(sinceStart(t.config.Now()))
 	s.confirmed.Store(old != nil && old.conn == e.conn && old.confirmed.Load())
-	t.take(s, a.Upstreams)
+	t.replaceUpstreams(s, a.Upstreams)
 	t.config.Reporter.Report(reporter.AgentAnnounced, reporter.Fields{"agent": a.AgentID, "vm": a.VM, "upstreams": len(a.Upstreams)})
 	return nil
 }
@@ -232,45 +234,46 @@
 	if s == nil || s.conn != e.conn || s.announce.Incarnation != h.Incarnation {
 		return connector.Errorf(messenger.CodeNotExist, "agent %s has no session on this connection", h.AgentID)
 	}
-	// Calls on a connection run on goroutines of their own, so an older
-	// heartbeat may come after a newer one; taking it would bring an upstream
-	// back that is leaving.
+	// Each call on a connection runs in its own goroutine, so an older heartbeat may
+	// be handled after a newer one; applying it would make a leaving upstream ready
+	// again.
 	if h.Sequence <= s.sequence {
 		return nil
 	}
 	s.sequence = h.Sequence
-	s.beat.Store(stamp(t.config.Now()))
+	s.lastHeartbeat.Store(sinceStart(t.config.Now()))
 	s.confirmed.Store(true)
-	t.take(s, h.Upstreams)
+	t.replaceUpstreams(s, h.Upstreams)
 	return nil
 }
 
-// take replaces the upstreams of a session. Each is a new value, since traffic
-// may hold the old one; counts and health are shared between them.
-func (t *Tracker) take(s *session, list []messenger.Upstream) {
+// replaceUpstreams replaces the upstreams of a session. Each gets a new value, since
+// requests may still use the old one; both share the load and the health.
+func (t *Tracker) replaceUpstreams(s *session, list []messenger.Upstream) {
 	now := t.config.Now()
 	next := make(map[string]*Upstream, len(list))
 	for _, u := range list {
 		up := &Upstream{
-			described: u, agentID: s.announce.AgentID, vm: s.announce.VM, zone: s.announce.Zone,
-			conn: s.conn, beat: s.beat, awaited: s.awaited, confirmed: s.confirmed, expiry: t.config.Expiry,
+			announced: u, agentID: s.announce.AgentID, vm: s.announce.VM, zone: s.announce.Zone,
+			conn: s.conn, lastHeartbeat: s.lastHeartbeat, outstanding: s.outstanding, confirmed: s.confirmed, expiry: t.config.Expiry,
 		}
 		if old := s.upstreams[u.ID]; old != nil {
-			up.load, up.health, up.since = old.load, old.health, old.since
+			up.load, up.health, up.firstSeen = old.load, old.health, old.firstSeen
 		} else {
-			up.load, up.health, up.since = &load{}, &balancer.Health{}, now
+			up.load, up.health, up.firstSeen = &load{}, &balancer.Health{}, now
 		}
-		up.load.report(u.InFlight)
+		up.load.update(u.InFlight)
 		next[u.ID] = up
 	}
 	s.upstreams = next
 	t.publish()
 }
 
+// sweep closes the sessions without a heartbeat for sessionExpiries expiries.
 func (t *Tracker) sweep() {
-	now := stamp(t.config.Now())
+	now := sinceStart(t.config.Now())
 	for id, s := range t.sessions {
-		if time.Duration(now-s.beat.Load()) > forgetAfter*t.config.Expiry {
+		if time.Duration(now-s.lastHeartbeat.Load()) > sessionExpiries*t.config.Expiry {
 			delete(t.sessions, id)
 			t.config.Reporter.Report(reporter.AgentLost, reporter.Fields{"agent": id, "reason": "no heartbeat"})
 			s.conn.Close()
@@ -279,17 +282,18 @@
 	}
 }
 
+// publish replaces the snapshot by one of the current sessions.
 func (t *Tracker) publish() {
 	next := &Snapshot{services: make(map[string][]*Upstream), agents: make(map[string]*atomic.Int64)}
 	for id, s := range t.sessions {
-		next.agents[id] = s.awaited
+		next.agents[id] = s.outstanding
 		for _, u := range s.upstreams {
-			next.services[u.described.Service] = append(next.services[u.described.Service], u)
+			next.services[u.announced.Service] = append(next.services[u.announced.Service], u)
 		}
 	}
 	for _, list := range next.services {
 		slices.SortFunc(list, func(a, b *Upstream) int {
-			if a.described.ID < b.described.ID {
+			if a.announced.ID < b.announced.ID {
 				return -1
 			}
 			return 1
@@ -298,8 +302,8 @@
 	t.snapshot.Store(next)
 }
 
-// CountEntries returns the number of live entries, this one included.
+// CountEntries returns the number of known entries, including this one.
 func (t *Tracker) CountEntries() int { return max(1, int(t.entries.Load())) }
 
-// Snapshot returns what is known now. It is never nil.
+// Snapshot returns the current snapshot. It is never nil.
 func (t *Tracker) Snapshot() *Snapshot { return t.snapshot.Load() }
--- a/internal/request/tracker/tracker_test.go
+++ b/internal/request/tracker/tracker_test.go
@@ -12,7 +12,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// clock is set by the test.
+// clock is a clock that is advanced by the test.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -25,8 +25,8 @@
 	c.now = c.now.Add(d)
 }
 
-// bed is a tracker behind a listener and one connection of an agent.
-type bed struct {
+// fixture is a tracker that serves a listener, and one connection of an agent.
+type fixture struct {
 	t       *testing.T
 	clock   *clock
 	tracker *Tracker
@@ -34,33 +34,33 @@
 	conn    *connector.Conn
 }
 
-func newBed(t *testing.T) *bed {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bed{t: t, clock: &clock{now: time.Now()}}
-	b.tracker = New(Config{EntryID: "e1", Now: b.clock.read})
+	f := &fixture{t: t, clock: &clock{now: time.Now()}}
+	f.tracker = New(Config{EntryID: "e1", Now: f.clock.read})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.address = l.Addr().String()
+	f.address = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 2)
-	go func() { done <- b.tracker.Run(ctx) }()
-	go func() { done <- connector.Serve(ctx, l, b.tracker.Handle, nil) }()
+	go func() { done <- f.tracker.Run(ctx) }()
+	go func() { done <- connector.Serve(ctx, l, f.tracker.Handle, nil) }()
 	t.Cleanup(func() { cancel(); <-done; <-done })
-	b.conn = b.dial()
-	return b
+	f.conn = f.dial()
+	return f
 }
 
-func (b *bed) dial() *connector.Conn {
-	b.t.Helper()
-	c, err := connector.Dial(context.Background(), b.address, func(context.Context, *connector.Conn, string, json.RawMessage) (any, error) {
+func (f *fixture) dial() *connector.Conn {
+	f.t.Helper()
+	c, err := connector.Dial(context.Background(), f.address, func(context.Context, *connector.Conn, string, json.RawMessage) (any, error) {
 		return messenger.RunReply{InFlight: 3}, nil
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { c.Close() })
+	f.t.Cleanup(func() { c.Close() })
 	return c
 }
 
@@ -68,151 +68,153 @@
 	return []messenger.Upstream{{ID: "u1", Service: "s", Slots: 8, State: state}}
 }
 
-func (b *bed) announce(c *connector.Conn, incarnation, sequence int64) error {
+func (f *fixture) announce(c *connector.Conn, incarnation, sequence int64) error {
 	return c.Call(context.Background(), messenger.MethodAnnounce, messenger.Announce{
 		AgentID: "a1", Incarnation: incarnation, Sequence: sequence, Upstreams: upstreams(messenger.UpstreamReady),
 	}, &messenger.AnnounceReply{})
 }
 
-func (b *bed) beat(c *connector.Conn, incarnation, sequence int64, state messenger.UpstreamState) error {
+func (f *fixture) heartbeat(c *connector.Conn, incarnation, sequence int64, state messenger.UpstreamState) error {
 	return c.Call(context.Background(), messenger.MethodHeartbeat, messenger.Heartbeat{
 		AgentID: "a1", Incarnation: incarnation, Sequence: sequence, Upstreams: upstreams(state),
 	}, &messenger.AnnounceReply{})
 }
 
-func (b *bed) ready() bool {
-	list := b.tracker.Snapshot().Upstreams("s")
-	return len(list) == 1 && list[0].Ready(b.clock.read())
+func (f *fixture) ready() bool {
+	list := f.tracker.Snapshot().Upstreams("s")
+	return len(list) == 1 && list[0].Ready(f.clock.read())
 }
 
-func (b *bed) must(err error) {
-	b.t.Helper()
+func (f *fixture) must(err error) {
+	f.t.Helper()
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
-// TestPausedEntryTrustsNoOldHeartbeat stops the entry for some seconds after a
-// heartbeat. Waking, it reads its snapshot before any timer has fired: the
-// upstream must not count as ready, since it may have left meanwhile.
-func TestPausedEntryTrustsNoOldHeartbeat(t *testing.T) {
-	b := newBed(t)
-	b.must(b.announce(b.conn, 1, 1))
-	if b.ready() {
-		t.Fatal("ready before the agent used the connection")
+// TestPausedEntryIgnoresStaleHeartbeat pauses the entry for some seconds after a
+// heartbeat. When it resumes, it reads its snapshot before any timer has fired: the
+// upstream must not be ready, since it may have left in the meantime.
+func TestPausedEntryIgnoresStaleHeartbeat(t *testing.T) {
+	f := newFixture(t)
+	f.must(f.announce(f.conn, 1, 1))
+	if f.ready() {
+		t.Fatal("ready before the first heartbeat on the connection")
 	}
-	b.must(b.beat(b.conn, 1, 2, messenger.UpstreamReady))
-	if !b.ready() {
+	f.must(f.heartbeat(f.conn, 1, 2, messenger.UpstreamReady))
+	if !f.ready() {
 		t.Fatal("not ready after a heartbeat")
 	}
-	b.clock.add(3*time.Second + time.Millisecond)
-	if b.ready() {
-		t.Error("ready after 3 s of silence")
+	f.clock.add(3*time.Second + time.Millisecond)
+	if f.ready() {
+		t.Error("ready 3 s after the last heartbeat")
 	}
-	b.must(b.beat(b.conn, 1, 3, messenger.UpstreamReady))
-	if !b.ready() {
+	f.must(f.heartbeat(f.conn, 1, 3, messenger.UpstreamReady))
+	if !f.ready() {
 		t.Error("not ready after a heartbeat")
 	}
 }
 
-// TestOlderNewsIsNotTaken has a heartbeat overtaken by a newer one that says
-// leaving, and an older incarnation come late: neither brings the upstream back.
-func TestOlderNewsIsNotTaken(t *testing.T) {
-	b := newBed(t)
-	b.must(b.announce(b.conn, 2, 1))
-	b.must(b.beat(b.conn, 2, 5, messenger.UpstreamLeaving))
-	b.must(b.beat(b.conn, 2, 4, messenger.UpstreamReady))
-	if b.ready() {
-		t.Error("an older heartbeat brought it back")
+// TestOlderUpdatesAreIgnored delivers a heartbeat after a newer one with the state
+// leaving, and a late announcement of an older incarnation: neither may make the
+// upstream ready again.
+func TestOlderUpdatesAreIgnored(t *testing.T) {
+	f := newFixture(t)
+	f.must(f.announce(f.conn, 2, 1))
+	f.must(f.heartbeat(f.conn, 2, 5, messenger.UpstreamLeaving))
+	f.must(f.heartbeat(f.conn, 2, 4, messenger.UpstreamReady))
+	if f.ready() {
+		t.Error("ready again after an older heartbeat")
 	}
-	other := b.dial()
-	if err := b.announce(other, 1, 9); connector.CodeOf(err) != messenger.CodeBadRequest {
+	other := f.dial()
+	if err := f.announce(other, 1, 9); connector.CodeOf(err) != messenger.CodeBadRequest {
 		t.Errorf("an older incarnation got %v", err)
 	}
-	if err := b.beat(other, 2, 6, messenger.UpstreamReady); connector.CodeOf(err) != messenger.CodeNotExist {
+	if err := f.heartbeat(other, 2, 6, messenger.UpstreamReady); connector.CodeOf(err) != messenger.CodeNotExist {
 		t.Errorf("a heartbeat on a connection without a session got %v", err)
 	}
 }
 
-// TestHeldUpAnnouncementTakesNoSession has an announcement come late, on a
-// connection that the agent gave up for a later one. The later session must go on:
-// thrown out, its requests in flight would be cut off when it is opened anew.
-func TestHeldUpAnnouncementTakesNoSession(t *testing.T) {
-	b := newBed(t)
-	second := b.dial()
-	b.must(b.announce(second, 1, 2))
-	b.must(b.beat(second, 1, 3, messenger.UpstreamReady))
-	if err := b.announce(b.conn, 1, 1); connector.CodeOf(err) != messenger.CodeBadRequest {
+// TestDelayedAnnouncementKeepsLaterSession delivers a late announcement on a connection
+// that the agent has replaced by a later one. The later session must remain: if it were
+// replaced, the agent would open it again, which cuts off its requests in flight.
+func TestDelayedAnnouncementKeepsLaterSession(t *testing.T) {
+	f := newFixture(t)
+	second := f.dial()
+	f.must(f.announce(second, 1, 2))
+	f.must(f.heartbeat(second, 1, 3, messenger.UpstreamReady))
+	if err := f.announce(f.conn, 1, 1); connector.CodeOf(err) != messenger.CodeBadRequest {
 		t.Errorf("the late announcement got %v", err)
 	}
-	b.must(b.beat(second, 1, 4, messenger.UpstreamReady))
-	if !b.ready() {
+	f.must(f.heartbeat(second, 1, 4, messenger.UpstreamReady))
+	if !f.ready() {
 		t.Error("the later session was lost")
 	}
 }
 
-// TestClosedConnectionRemovesAtOnce closes the agent's connection, as the death
-// of the agent does; an older connection of the same agent changes nothing.
-func TestClosedConnectionRemovesAtOnce(t *testing.T) {
-	b := newBed(t)
-	b.must(b.announce(b.conn, 1, 1))
-	second := b.dial()
-	b.must(b.announce(second, 1, 2))
-	b.must(b.beat(second, 1, 3, messenger.UpstreamReady))
-	b.conn.Close()
+// TestClosedConnectionRemovesUpstreams closes the agent's connection, as a crash of the
+// agent does: its upstreams must be removed. Closing an older connection of the same
+// agent must change nothing.
+func TestClosedConnectionRemovesUpstreams(t *testing.T) {
+	f := newFixture(t)
+	f.must(f.announce(f.conn, 1, 1))
+	second := f.dial()
+	f.must(f.announce(second, 1, 2))
+	f.must(f.heartbeat(second, 1, 3, messenger.UpstreamReady))
+	f.conn.Close()
 	time.Sleep(50 * time.Millisecond)
-	if !b.ready() {
+	if !f.ready() {
 		t.Fatal("the end of an older connection removed the session")
 	}
 	second.Close()
-	for end := time.Now().Add(5 * time.Second); b.ready(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); f.ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still there 5 s after its connection closed")
+			t.Fatal("upstream still ready 5 s after the connection was closed")
 		}
 	}
 }
 
-// TestAgentRestartedAfterItsClockJumpedBack: the next process of an agent has a lower
-// number. It is taken as soon as the connection of the one before has ended, and also if
-// that one has only gone silent.
+// TestAgentRestartedAfterItsClockJumpedBack restarts an agent with a lower incarnation
+// number. It must be accepted as soon as the connection of the previous incarnation has
+// ended, and also if that one has only stopped sending heartbeats.
 func TestAgentRestartedAfterItsClockJumpedBack(t *testing.T) {
-	ends := map[string]func(b *bed){
-		"ended":  func(b *bed) { b.conn.Close() },
-		"silent": func(b *bed) { b.clock.add(forgetAfter*defaultExpiry + time.Second) },
+	ends := map[string]func(f *fixture){
+		"connection ended": func(f *fixture) { f.conn.Close() },
+		"no heartbeats":    func(f *fixture) { f.clock.add(sessionExpiries*defaultExpiry + time.Second) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.must(b.announce(b.conn, 9, 1))
-			b.must(b.beat(b.conn, 9, 2, messenger.UpstreamReady))
-			next := b.dial()
-			if err := b.announce(next, 7, 1); err == nil {
-				t.Fatal("taken beside the one before")
+			f := newFixture(t)
+			f.must(f.announce(f.conn, 9, 1))
+			f.must(f.heartbeat(f.conn, 9, 2, messenger.UpstreamReady))
+			next := f.dial()
+			if err := f.announce(next, 7, 1); err == nil {
+				t.Fatal("accepted while the previous incarnation had a session")
 			}
-			end(b)
-			for limit := time.Now().Add(5 * time.Second); b.announce(next, 7, 1) != nil; time.Sleep(time.Millisecond) {
-				if time.Now().After(limit) {
-					t.Fatal("refused for 5 s")
+			end(f)
+			for deadline := time.Now().Add(5 * time.Second); f.announce(next, 7, 1) != nil; time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Fatal("still refused after 5 s")
 				}
 			}
-			b.must(b.beat(next, 7, 2, messenger.UpstreamReady))
-			if !b.ready() {
+			f.must(f.heartbeat(next, 7, 2, messenger.UpstreamReady))
+			if !f.ready() {
 				t.Error("not ready after a heartbeat")
 			}
 		})
 	}
 }
 
-// TestCountsOthersRequests: what the agent counts beyond this entry's own is the
-// load of other entries.
-func TestCountsOthersRequests(t *testing.T) {
-	b := newBed(t)
-	b.must(b.announce(b.conn, 1, 1))
-	u := b.tracker.Snapshot().Upstreams("s")[0]
+// TestCountsRequestsOfOtherEntries checks that the requests reported by the agent beyond
+// this entry's own count as the load of other entries.
+func TestCountsRequestsOfOtherEntries(t *testing.T) {
+	f := newFixture(t)
+	f.must(f.announce(f.conn, 1, 1))
+	u := f.tracker.Snapshot().Upstreams("s")[0]
 	if _, err := u.Run(context.Background(), messenger.RunRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	if u.InFlight() != 3 || u.OthersInFlight() != 3 {
-		t.Errorf("in flight %d, of others %d", u.InFlight(), u.OthersInFlight())
+	if u.InFlight() != 3 || u.OtherEntriesInFlight() != 3 {
+		t.Errorf("%d requests in flight, %d of other entries", u.InFlight(), u.OtherEntriesInFlight())
 	}
 }
