--- a/internal/request/receiver/answer.go
+++ b/internal/request/receiver/answer.go
@@ -16,33 +16,35 @@
 	maxRetryAfter     = 30 * time.Second
 )
 
-// answer is the final answer to a caller.
+// answer is the final response to a caller.
 type answer struct {
 	status     int
 	outcome    messenger.Outcome
 	header     http.Header
 	body       []byte
-	reason     string        // of an answer of the entry's own; body is made from it
-	retryAfter time.Duration // 0: repeating it changes nothing
+	reason     string        // set if the entry itself answers; the body is built from it
+	retryAfter time.Duration // 0: a repeat would have the same result
 	replayed   bool
 	closeConn  bool
 }
 
-// refuse is the answer to a request that is wrong; repeating it won't help.
-func refuse(status int, reason string) *answer {
+// newRefusal returns the answer to an invalid request; a repeat would be refused too.
+func newRefusal(status int, reason string) *answer {
 	return &answer{status: status, outcome: messenger.OutcomeNotRun, reason: reason}
 }
 
-// refuseFor is the answer to a request that can be sent again after a while.
-func refuseFor(status int, reason string, after time.Duration) *answer {
+// newRetryableRefusal returns the answer to a request that did not run and that the
+// caller may repeat after the given time.
+func newRetryableRefusal(status int, reason string, after time.Duration) *answer {
 	return &answer{status: status, outcome: messenger.OutcomeNotRun, reason: reason, retryAfter: max(after, minRetryAfter)}
 }
 
-func unknown(status int, reason string) *answer {
+// newUnknown returns the answer to a request with an unknown outcome.
+func newUnknown(status int, reason string) *answer {
 	return &answer{status: status, outcome: messenger.OutcomeUnknown, reason: reason}
 }
 
-// errorBody is the body of an answer of the entry's own.
+// errorBody is the body of an answer that the entry itself gives.
 type errorBody struct {
 	Error     string            `json:"error"`
 	Outcome   messenger.Outcome `json:"outcome"`
@@ -56,13 +58,13 @@
 	}
 	body := a.body
 	if a.reason != "" {
-		// The struct has only strings, so it always encodes.
+		// The struct has only strings, so encoding can't fail.
 		body, _ = json.Marshal(errorBody{Error: a.reason, Outcome: a.outcome, RequestID: id})
 		body = append(body, '\n')
 		h.Set("Content-Type", "application/json")
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // net/http would guess one that the upstream did not give
+		h["Content-Type"] = nil // otherwise net/http sets a guessed type that the upstream did not send
 	}
 	h.Set(OutcomeHeader, string(a.outcome))
 	h.Set(RequestIDHeader, id)
@@ -74,18 +76,18 @@
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
-		after := spread(a.retryAfter)
+		after := addJitter(a.retryAfter)
 		h.Set(RetryAfterHeader, strconv.FormatInt(max(1, int64((after+time.Second-1)/time.Second)), 10))
-		h.Set(RetryMsHeader, strconv.FormatInt(messenger.Millis(after), 10))
+		h.Set(RetryAfterMsHeader, strconv.FormatInt(messenger.Millis(after), 10))
 	}
 	w.WriteHeader(a.status)
-	// A caller that has gone shows here as an error; nobody is left to tell.
+	// An error means that the caller has disconnected; there is nobody to report it to.
 	_, _ = w.Write(body)
 }
 
-// spread lengthens a time by up to half, so that callers refused together do not
-// come back together.
-func spread(d time.Duration) time.Duration {
+// addJitter extends a duration by up to half, so that callers that are refused at the
+// same time do not retry at the same time.
+func addJitter(d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d + rand.N(d/2+1)
 }
--- a/internal/request/receiver/bed_test.go
+++ b/internal/request/receiver/fixture_test.go
@@ -20,12 +20,12 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// announceEvery is a third of a second, so that a busy machine misses none in a row.
-const announceEvery = 300 * time.Millisecond
+// announceInterval is short enough that a busy machine does not miss several
+// announcements in a row.
+const announceInterval = 300 * time.Millisecond
 
-// bed is one entry, one agent and its upstreams in this process, over real
-// connections.
-type bed struct {
+// fixture is one entry, one agent and its upstreams in this process, connected over TCP.
+type fixture struct {
 	t        *testing.T
 	receiver *Receiver
 	tracker  *tracker.Tracker
@@ -43,7 +43,7 @@
 	})
 }
 
-// run starts f and waits for its end when the test ends.
+// run starts f in a goroutine; at the end of the test it cancels f and waits for it.
 func run(t *testing.T, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -56,46 +56,46 @@
 	})
 }
 
-func newBed(t *testing.T) *bed {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bed{t: t, claims: &fakeClaims{held: make(map[string]messenger.ClaimRequest), settled: make(map[string]messenger.SettleRequest)}}
+	f := &fixture{t: t, claims: &fakeClaims{held: make(map[string]messenger.ClaimRequest), resolved: make(map[string]messenger.SettleRequest)}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.tracker = tracker.New(tracker.Config{EntryID: "e1"})
-	run(t, b.tracker.Run)
-	run(t, func(ctx context.Context) error { return connector.Serve(ctx, l, b.tracker.Handle, nil) })
-	b.gate = gatekeeper.New(gatekeeper.Config{})
-	b.agent = announcer.New(announcer.Config{
+	f.tracker = tracker.New(tracker.Config{EntryID: "e1"})
+	run(t, f.tracker.Run)
+	run(t, func(ctx context.Context) error { return connector.Serve(ctx, l, f.tracker.Handle, nil) })
+	f.gate = gatekeeper.New(gatekeeper.Config{})
+	f.agent = announcer.New(announcer.Config{
 		AgentID: "a1", VM: "vm1", Incarnation: 1, Entries: []string{l.Addr().String()},
-		Gatekeeper: b.gate, Interval: 50 * time.Millisecond,
+		Gatekeeper: f.gate, Interval: 50 * time.Millisecond,
 	})
-	run(t, b.agent.Run)
-	b.receiver = New(Config{EntryID: "e1", Tracker: b.tracker, Fleet: testFleet, CallCell: b.claims.call, Cell: "main"})
-	server := httptest.NewServer(b.receiver)
+	run(t, f.agent.Run)
+	f.receiver = New(Config{EntryID: "e1", Tracker: f.tracker, Fleet: testFleet, CallCell: f.claims.call, Cell: "main"})
+	server := httptest.NewServer(f.receiver)
 	t.Cleanup(server.Close)
-	b.url = server.URL
-	return b
+	f.url = server.URL
+	return f
 }
 
-// upstream serves handle as an upstream and waits until the entry knows it.
-func (b *bed) upstream(id string, slots int, handle http.HandlerFunc) {
-	b.t.Helper()
+// upstream starts an upstream with the handler and waits until it is ready at the entry.
+func (f *fixture) upstream(id string, slots int, handle http.HandlerFunc) {
+	f.t.Helper()
 	server := httptest.NewServer(handle)
-	b.t.Cleanup(server.Close)
-	b.announce(id, slots, server.Listener.Addr().String())
+	f.t.Cleanup(server.Close)
+	f.announce(id, slots, server.Listener.Addr().String())
 }
 
-func (b *bed) announce(id string, slots int, address string) {
-	b.t.Helper()
+func (f *fixture) announce(id string, slots int, address string) {
+	f.t.Helper()
 	a := gatekeeper.Announcement{ID: id, Service: "labels", Address: address, Slots: slots, State: messenger.UpstreamReady}
-	if err := b.gate.Renew(a); err != nil {
-		b.t.Fatal(err)
+	if err := f.gate.Renew(a); err != nil {
+		f.t.Fatal(err)
 	}
-	b.keepAnnounced(a)
-	waitFor(b.t, func() bool {
-		for _, u := range b.tracker.Snapshot().Upstreams("labels") {
+	f.keepAnnounced(a)
+	waitFor(f.t, func() bool {
+		for _, u := range f.tracker.Snapshot().Upstreams("labels") {
 			if u.ID() == id && u.Ready(time.Now()) {
 				return true
 			}
@@ -104,19 +104,19 @@
 	})
 }
 
-// keepAnnounced repeats an announcement until the test ends, as upstreams do each
-// second: the agent forgets one that falls silent, and a test on a busy machine may
-// take longer than that.
-func (b *bed) keepAnnounced(a gatekeeper.Announcement) {
-	run(b.t, func(ctx context.Context) error {
-		ticker := time.NewTicker(announceEvery)
+// keepAnnounced repeats an announcement until the test ends, as upstreams do every
+// second: the agent drops an upstream that stops announcing itself, and a test on a busy
+// machine may take longer than that.
+func (f *fixture) keepAnnounced(a gatekeeper.Announcement) {
+	run(f.t, func(ctx context.Context) error {
+		ticker := time.NewTicker(announceInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-ticker.C:
-				if err := b.gate.Renew(a); err != nil {
+				if err := f.gate.Renew(a); err != nil {
 					return err
 				}
 			}
@@ -131,7 +131,7 @@
 			return
 		}
 	}
-	t.Fatal("not so within 10 s")
+	t.Fatal("condition not met within 10 s")
 }
 
 type reply struct {
@@ -142,40 +142,41 @@
 
 func (r reply) outcome() messenger.Outcome { return messenger.Outcome(r.header.Get(OutcomeHeader)) }
 
-func (b *bed) send(method, path, body string, headers ...string) reply {
-	b.t.Helper()
-	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
+func (f *fixture) request(method, path, body string, headers ...string) reply {
+	f.t.Helper()
+	req, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	for i := 0; i < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return reply{resp.StatusCode, resp.Header, string(data)}
 }
 
-// echo answers with the path and body, as a correct upstream does.
+// echo answers as a correct upstream does: with the request id, the path and the body of
+// the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	body, _ := io.ReadAll(r.Body)
 	io.WriteString(w, r.URL.RequestURI()+" "+string(body))
 }
 
-// fakeClaims is the owner of the cell.
+// fakeClaims fakes the claims that the owner of the cell keeps.
 type fakeClaims struct {
-	mu      sync.Mutex
-	down    bool
-	held    map[string]messenger.ClaimRequest
-	settled map[string]messenger.SettleRequest
+	mu       sync.Mutex
+	down     bool
+	held     map[string]messenger.ClaimRequest
+	resolved map[string]messenger.SettleRequest
 }
 
 func (f *fakeClaims) call(_ context.Context, _, method string, params, result any) error {
@@ -189,22 +190,22 @@
 		if s.Outcome == messenger.OutcomeNotRun {
 			delete(f.held, s.Key)
 		} else {
-			f.settled[s.Key] = s
+			f.resolved[s.Key] = s
 		}
 		return nil
 	}
 	c := params.(messenger.ClaimRequest)
 	var r messenger.ClaimReply
 	held, ok := f.held[c.Key]
-	settled, done := f.settled[c.Key]
+	resolved, done := f.resolved[c.Key]
 	switch {
 	case !ok:
 		f.held[c.Key] = c
 		r.State = messenger.ClaimGranted
 	case held.Digest != c.Digest:
 		r.State = messenger.ClaimMismatch
-	case done && settled.Outcome == messenger.OutcomeRun:
-		r = messenger.ClaimReply{State: messenger.ClaimSettled, Answer: settled.Answer}
+	case done && resolved.Outcome == messenger.OutcomeRun:
+		r = messenger.ClaimReply{State: messenger.ClaimSettled, Answer: resolved.Answer}
 	case held.RequestID == c.RequestID:
 		r.State = messenger.ClaimGranted
 	default:
--- a/internal/request/receiver/meter.go
+++ b/internal/request/receiver/meter.go
@@ -11,17 +11,18 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// unnamed stands for tenants and services that the fleet text does not have, so
-// that callers can't make metrics without limit.
-const unnamed = "none"
+// unknownLabel replaces tenants and services that are not in the fleet text, so that
+// callers can't create an unlimited number of metrics.
+const unknownLabel = "none"
 
-func (r *Receiver) meter(c *call, a *answer) {
+// recordMetrics records the duration and outcome of a request.
+func (r *Receiver) recordMetrics(c *call, a *answer) {
 	tenant, service := c.tenant.Name, c.service.Name
 	if tenant == "" {
-		tenant = unnamed
+		tenant = unknownLabel
 	}
 	if service == "" {
-		service = unnamed
+		service = unknownLabel
 	}
 	took := r.config.Now().Sub(c.started).Seconds()
 	name := fmt.Sprintf(`bamboospread_request_seconds{tenant=%q,service=%q,outcome=%q}`, tenant, service, a.outcome)
@@ -31,31 +32,34 @@
 	}
 }
 
-// observe gives the result of an attempt to the health of its upstream.
-func (r *Receiver) observe(ctx context.Context, c *call, u *tracker.Upstream, reply messenger.RunReply, took time.Duration) {
+// recordHealth records the result of an attempt in the health of its upstream.
+func (r *Receiver) recordHealth(ctx context.Context, c *call, u *tracker.Upstream, reply messenger.RunReply, took time.Duration) {
 	now := r.config.Now()
 	switch {
 	case reply.Outcome == messenger.OutcomeRun:
 		u.Health().Observe(now, took, reply.Status >= http.StatusInternalServerError)
 	case isRefusal(reply), errors.Is(ctx.Err(), context.Canceled):
-		// A refusal of the gate or a caller that went tells nothing of it.
-	case reply.Outcome == messenger.OutcomeUnknown && errors.Is(ctx.Err(), context.DeadlineExceeded) && took < patience(c):
-		// The caller's deadline was short; that is not the upstream's fault.
+		// A refusal by the agent or a caller that disconnected is no evidence of the
+		// upstream's health.
+	case reply.Outcome == messenger.OutcomeUnknown && errors.Is(ctx.Err(), context.DeadlineExceeded) && took < failureTimeout(c):
+		// The caller's deadline was too short to count this as a failure of the upstream.
 		u.Health().ObserveUnfinished(now, took)
 	default:
 		u.Health().Observe(now, took, true)
 	}
 }
 
-// patience is the time after which an upstream without an answer has failed.
-func patience(c *call) time.Duration {
+// failureTimeout returns the time after which an attempt without an answer counts as a
+// failure of the upstream.
+func failureTimeout(c *call) time.Duration {
 	if c.service.LatencyObjective > 0 {
-		return objectivesUntilFailed * c.service.LatencyObjective
+		return failureObjectives * c.service.LatencyObjective
 	}
 	return defaultTimeout / 2
 }
 
-// isRefusal tells whether the gate refused, which says nothing of health.
+// isRefusal reports whether the agent refused the request, which is no evidence of the
+// upstream's health.
 func isRefusal(reply messenger.RunReply) bool {
 	if reply.Outcome != messenger.OutcomeNotRun {
 		return false
--- a/internal/request/receiver/receiver.go
+++ b/internal/request/receiver/receiver.go
@@ -1,6 +1,6 @@
-// Package receiver serves callers over HTTP: it admits each request, routes it to
-// an upstream, and answers with the whole answer or a clear error that tells
-// whether the request ran.
+// Package receiver serves callers over HTTP: it admits each request, routes it to an
+// upstream, and returns either the complete answer or an error that states whether the
+// request ran.
 package receiver
 
 import (
@@ -21,8 +21,9 @@
 	"bamboospread/internal/request/tracker"
 )
 
-// settleDrainLimit bounds the wait for the ends of keyed requests in a stop.
-const settleDrainLimit = 3 * time.Second
+// claimDrainTimeout bounds the wait for the outcomes of keyed requests to be recorded
+// during shutdown.
+const claimDrainTimeout = 3 * time.Second
 
 // Config holds the settings of a Receiver.
 type Config struct {
@@ -35,8 +36,8 @@
 	Reporter *reporter.Reporter
 	Metrics  *metrics.Set
 	Now      func() time.Time
-	NewID    func() string // of a request; nil: random
-	// Balancer, Retrier and Admitter may be given to change their settings.
+	NewID    func() string // returns a request id; nil: random ids
+	// Balancer, Retrier and Admitter replace the defaults if they are set.
 	Balancer *balancer.Balancer
 	Retrier  *retrier.Retrier
 	Admitter *admitter.Admitter
@@ -88,17 +89,17 @@
 		r.admitter = admitter.New(admitter.Config{Capacity: r.capacity, Now: c.Now})
 	}
 	r.mux.HandleFunc("/v1/services/{service}/{path...}", r.serve)
-	r.mux.HandleFunc("/v1/services/{service}", r.serve) // else redirected, which makes a GET of a POST
+	r.mux.HandleFunc("/v1/services/{service}", r.serve) // otherwise redirected, which turns a POST into a GET
 	return r
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Receiver) ServeHTTP(w http.ResponseWriter, req *http.Request) { r.mux.ServeHTTP(w, req) }
 
-// capacity returns how many requests of the service this entry may have running:
-// what other entries leave free, and at least its even part of all slots. Without
-// that part an entry whose own queue is never empty would take every slot that
-// comes free, and the callers of the other entries would starve.
+// capacity returns how many requests of the service this entry may have running: the
+// slots that other entries leave free, but at least an equal share of all slots. Without
+// that share, an entry whose queue is never empty would take every slot that becomes
+// free, and the callers of the other entries would starve.
 func (r *Receiver) capacity(service string) int {
 	now := r.config.Now()
 	slots, others := 0, 0
@@ -112,7 +113,7 @@
 	return max(slots-others, (slots+entries-1)/entries)
 }
 
-// begin counts a request in flight; false while draining.
+// begin counts a request in flight. It returns false while draining.
 func (r *Receiver) begin() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,8 +133,8 @@
 	}
 }
 
-// Drain refuses new requests and waits until those in flight are answered and
-// the ends of keyed ones are recorded.
+// Drain refuses new requests and waits until those in flight are answered and the
+// outcomes of keyed ones are recorded.
 func (r *Receiver) Drain(ctx context.Context) error {
 	r.mu.Lock()
 	if !r.draining {
@@ -149,10 +150,10 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleDrainLimit)
+	ctx, cancel := context.WithTimeout(ctx, claimDrainTimeout)
 	defer cancel()
-	// With the owner away the ends can't be recorded; waiting on would hold the
-	// stop up for nothing. Their keys stay refused, which is safe.
+	// While the owner is unavailable, outcomes can't be recorded, and a longer wait
+	// would only delay the shutdown. Repeats of their keys stay refused, which is safe.
 	if err := r.claimer.Drain(ctx); err != nil {
 		r.config.Reporter.Report(reporter.ClaimUnsettled, reporter.Fields{"error": err.Error()})
 	}
--- a/internal/request/receiver/request.go
+++ b/internal/request/receiver/request.go
@@ -16,53 +16,53 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Headers between callers and entries.
+// Names of the HTTP headers between callers and entries.
 const (
-	TenantHeader     = "Bamboospread-Tenant"
-	IdempotentHeader = "Bamboospread-Idempotent"
-	TimeoutHeader    = "Bamboospread-Timeout-Ms"
-	OutcomeHeader    = "Bamboospread-Outcome"
-	RequestIDHeader  = "Bamboospread-Request-Id"
-	KeyHeader        = "Idempotency-Key"
-	ReplayedHeader   = "Idempotency-Replayed"
-	RetryAfterHeader = "Retry-After"
-	RetryMsHeader    = "Retry-After-Ms"
+	TenantHeader       = "Bamboospread-Tenant"
+	IdempotentHeader   = "Bamboospread-Idempotent"
+	TimeoutHeader      = "Bamboospread-Timeout-Ms"
+	OutcomeHeader      = "Bamboospread-Outcome"
+	RequestIDHeader    = "Bamboospread-Request-Id"
+	KeyHeader          = "Idempotency-Key"
+	ReplayedHeader     = "Idempotency-Replayed"
+	RetryAfterHeader   = "Retry-After"
+	RetryAfterMsHeader = "Retry-After-Ms"
 )
 
 // Limits of a request.
 const (
 	MaxBodyBytes      = 8 << 20
-	maxBodiesBytes    = 256 << 20 // of all requests in flight
+	maxTotalBodyBytes = 256 << 20 // of all requests in flight
 	maxKeyBytes       = 256
 	maxTimeout        = 60 * time.Second
 	defaultTimeout    = 10 * time.Second
 	minDefaultTimeout = time.Second
-	objectivesAllowed = 10 // default deadline as a multiple of the latency objective
-	// objectivesUntilFailed is the time, as a multiple of the latency objective,
-	// after which an attempt without an answer counts against its upstream.
-	objectivesUntilFailed = 3
-	startingRetry         = 500 * time.Millisecond
+	timeoutObjectives = 10 // default deadline as a multiple of the latency objective
+	// failureObjectives is the time after which an attempt without an answer counts as
+	// a failure of its upstream, as a multiple of the latency objective.
+	failureObjectives  = 3
+	startingRetryAfter = 500 * time.Millisecond
 )
 
-// call is one request of a caller on its way through the entry.
+// call is a caller's request while it is processed by the entry.
 type call struct {
-	id         string
-	service    describer.Service
-	tenant     describer.Tenant
-	idempotent bool
-	key        string
-	method     string
-	path       string
-	header     http.Header
-	body       []byte
-	started    time.Time
-	deadline   time.Time
-	heldBytes  int64 // counted by holdBody
+	id            string
+	service       describer.Service
+	tenant        describer.Tenant
+	idempotent    bool
+	key           string
+	method        string
+	path          string
+	header        http.Header
+	body          []byte
+	started       time.Time
+	deadline      time.Time
+	reservedBytes int64 // counted by reserveBody
 }
 
 func randomID() string { return rand.Text() }
 
-// keyed tells whether the call must hold the claim on its key to run.
+// keyed reports whether the call needs the claim on its idempotency key to run.
 func (c *call) keyed() bool { return c.key != "" && !c.idempotent }
 
 func (c *call) claim() claimer.Options {
@@ -72,7 +72,8 @@
 	}
 }
 
-// parse reads the request; the second result is the refusal of a wrong one.
+// parse validates the request and reads its body. The second result is the refusal of
+// an invalid request, or nil.
 func (r *Receiver) parse(w http.ResponseWriter, req *http.Request) (*call, *answer) {
 	c := &call{
 		id: r.config.NewID(), method: req.Method,
@@ -83,61 +84,61 @@
 		return c, refusal
 	}
 	var err error
-	if c.idempotent, err = idempotent(req); err != nil {
-		return c, refuse(http.StatusBadRequest, err.Error())
+	if c.idempotent, err = isIdempotent(req); err != nil {
+		return c, newRefusal(http.StatusBadRequest, err.Error())
 	}
 	if len(c.key) > maxKeyBytes || !messenger.IsASCII(c.key) {
-		return c, refuse(http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes or not ASCII", KeyHeader, maxKeyBytes))
+		return c, newRefusal(http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes or not ASCII", KeyHeader, maxKeyBytes))
 	}
-	timeout, err := timeoutOf(req, c.service)
+	timeout, err := requestTimeout(req, c.service)
 	if err != nil {
-		return c, refuse(http.StatusBadRequest, err.Error())
+		return c, newRefusal(http.StatusBadRequest, err.Error())
 	}
 	c.deadline = c.started.Add(timeout)
-	if !r.holdBody(c, req.ContentLength) {
-		return c, refuseFor(http.StatusServiceUnavailable, "the entry holds as many bodies as it can", defaultRetryAfter)
+	if !r.reserveBody(c, req.ContentLength) {
+		return c, newRetryableRefusal(http.StatusServiceUnavailable, "the entry's memory limit for request bodies is reached", defaultRetryAfter)
 	}
-	// A caller that stops in the middle of its body must not hold the request
-	// past its deadline.
+	// A caller that stops sending in the middle of its body must not keep the request
+	// open past its deadline.
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(c.deadline) // a connection without deadlines has none to set
+	_ = control.SetReadDeadline(c.deadline) // fails only if the connection does not support deadlines
 	c.body, err = io.ReadAll(http.MaxBytesReader(w, req.Body, MaxBodyBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return c, refuse(http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is above %d bytes", MaxBodyBytes))
+		return c, newRefusal(http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is larger than %d bytes", MaxBodyBytes))
 	case err != nil:
-		return c, refuse(http.StatusBadRequest, fmt.Sprintf("read the body: %v", err))
+		return c, newRefusal(http.StatusBadRequest, fmt.Sprintf("read the body: %v", err))
 	}
 	return c, nil
 }
 
-// holdBody counts the memory of a body that is to be read. Without a bound, many
-// large bodies at once end the whole process for want of memory, and with it
-// every other request in flight.
-func (r *Receiver) holdBody(c *call, length int64) bool {
+// reserveBody reserves memory for the body before it is read. Without a bound, many
+// large bodies at once would make the process run out of memory, which ends all other
+// requests in flight too.
+func (r *Receiver) reserveBody(c *call, length int64) bool {
 	if length < 0 || length > MaxBodyBytes {
-		length = MaxBodyBytes // the length is not told, or will be refused on reading
+		length = MaxBodyBytes // the length is unknown, or the body will be refused when it is read
 	}
-	if r.bodyBytes.Add(length) > maxBodiesBytes {
+	if r.bodyBytes.Add(length) > maxTotalBodyBytes {
 		r.bodyBytes.Add(-length)
 		return false
 	}
-	c.heldBytes = length
+	c.reservedBytes = length
 	return true
 }
 
-// identify finds the service and the tenant.
+// identify looks up the service and the tenant.
 func (r *Receiver) identify(c *call, req *http.Request) *answer {
 	fleet := r.config.Fleet()
 	name := req.PathValue("service")
 	service, ok := fleet.Service(name)
 	if !ok && fleet.Version() == 0 {
-		return refuseFor(http.StatusServiceUnavailable, "the entry has no fleet text yet", startingRetry)
+		return newRetryableRefusal(http.StatusServiceUnavailable, "the entry has no fleet text yet", startingRetryAfter)
 	}
 	if !ok {
-		return refuse(http.StatusNotFound, fmt.Sprintf("no service %q", name))
+		return newRefusal(http.StatusNotFound, fmt.Sprintf("unknown service %q", name))
 	}
 	c.service = service
 	tenant := req.Header.Get(TenantHeader)
@@ -145,17 +146,18 @@
 		tenant = service.Tenant
 	}
 	if c.tenant, ok = fleet.Tenant(tenant); !ok {
-		return refuse(http.StatusForbidden, fmt.Sprintf("no tenant %q", tenant))
+		return newRefusal(http.StatusForbidden, fmt.Sprintf("unknown tenant %q", tenant))
 	}
 	return nil
 }
 
-// upstreamPath returns the path below the service as the caller escaped it.
+// upstreamPath returns the path below the service, escaped as the caller sent it, and
+// the query.
 func upstreamPath(req *http.Request) string {
-	const before = 4 // parts: the empty one, v1, services and the service
+	const prefixParts = 4 // the empty string, v1, services and the service name
 	escaped := "/"
-	if parts := strings.SplitN(req.URL.EscapedPath(), "/", before+1); len(parts) > before {
-		escaped += parts[before]
+	if parts := strings.SplitN(req.URL.EscapedPath(), "/", prefixParts+1); len(parts) > prefixParts {
+		escaped += parts[prefixParts]
 	}
 	if req.URL.RawQuery != "" {
 		escaped += "?" + escapeBytes(req.URL.RawQuery)
@@ -163,8 +165,8 @@
 	return escaped
 }
 
-// escapeBytes escapes bytes above ASCII, which some callers send in a query as
-// they are and which JSON would not carry unchanged.
+// escapeBytes percent-encodes bytes above ASCII, which some callers send unescaped in a
+// query and which JSON would not preserve.
 func escapeBytes(query string) string {
 	if messenger.IsASCII(query) {
 		return query
@@ -180,7 +182,9 @@
 	return b.String()
 }
 
-func idempotent(req *http.Request) (bool, error) {
+// isIdempotent reports whether the request is idempotent by its header, else by its
+// method.
+func isIdempotent(req *http.Request) (bool, error) {
 	switch v := req.Header.Get(IdempotentHeader); v {
 	case "true", "false":
 		return v == "true", nil
@@ -195,17 +199,19 @@
 	return false, nil
 }
 
-func timeoutOf(req *http.Request, s describer.Service) (time.Duration, error) {
+// requestTimeout returns the timeout given by the caller, else the default of the
+// service.
+func requestTimeout(req *http.Request, s describer.Service) (time.Duration, error) {
 	v := req.Header.Get(TimeoutHeader)
 	if v == "" {
 		if s.LatencyObjective <= 0 {
 			return defaultTimeout, nil
 		}
-		return min(max(objectivesAllowed*s.LatencyObjective, minDefaultTimeout), maxTimeout), nil
+		return min(max(timeoutObjectives*s.LatencyObjective, minDefaultTimeout), maxTimeout), nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || ms <= 0 {
-		return 0, fmt.Errorf("%s is %q: want a whole number of ms above 0", TimeoutHeader, v)
+		return 0, fmt.Errorf("%s is %q: want a positive integer of milliseconds", TimeoutHeader, v)
 	}
 	return min(messenger.FromMillis(min(ms, maxTimeout.Milliseconds())), maxTimeout), nil
 }
--- a/internal/request/receiver/route.go
+++ b/internal/request/receiver/route.go
@@ -16,108 +16,108 @@
 )
 
 const (
-	maxCandidates  = 32 // kept on the stack; more upstreams cost an allocation
-	pauseWhenFull  = 2 * time.Millisecond
-	pauseWhenNone  = 20 * time.Millisecond
-	minAttemptTime = 20 * time.Millisecond
-	// usualTimesAllowed is how often its usual time an attempt may take before
-	// another upstream is asked.
-	usualTimesAllowed = 4
-	// slotWait is how long after its arrival an admitted request goes on asking
-	// for a slot. Entries admit without knowing of each other's latest grants,
-	// so under load an admitted request finds upstreams full several times in a
-	// row although slots come free all the time; refused after a few quick
-	// tries, tenants within their share were refused too. Callers are refused
-	// within 50 ms, so the wait ends a little before.
-	slotWait = 45 * time.Millisecond
+	stackCandidates = 32 // buffers on the stack; more candidates need an allocation
+	maxFullPause    = 2 * time.Millisecond
+	noUpstreamPause = 20 * time.Millisecond
+	minAttemptTime  = 20 * time.Millisecond
+	// attemptLatencyMultiple is the minimum timeout of a first attempt that is cut short
+	// to leave time for another upstream, as a multiple of the typical latency.
+	attemptLatencyMultiple = 4
+	// slotRetryPeriod is how long after its arrival an admitted request is retried while
+	// upstreams are full. Entries admit requests without knowing each other's latest
+	// admissions, so under load an admitted request finds upstreams full several times in
+	// a row although slots become free all the time. If it were refused after a few quick
+	// retries, tenants within their share would be refused too. Callers are refused
+	// within 50 ms, so the retries end a little earlier.
+	slotRetryPeriod = 45 * time.Millisecond
 )
 
-// journey is the state of a request over its attempts.
-type journey struct {
-	attempt int
-	moves   int
-	tries   int
-	tried   map[string]bool
-	usual   time.Duration // mean time of the other upstreams; 0: not known
-	reason  string
-	late    bool // the last unknown outcome came by the deadline
-	after   time.Duration
+// routeState is the state of a request across its attempts.
+type routeState struct {
+	attempt        int
+	notRun         int
+	unknown        int
+	tried          map[string]bool
+	typicalLatency time.Duration // mean latency of the other upstreams; 0: unknown
+	reason         string
+	timedOut       bool // the last attempt had an unknown outcome and the context had ended
+	retryAfter     time.Duration
 }
 
-// route sends the request to upstreams until one answers or it is given up.
+// route sends the request to upstreams until one answers or no retry is allowed.
 func (r *Receiver) route(ctx context.Context, c *call) *answer {
 	r.retrier.CountRequest(c.service.Name)
-	j := &journey{tried: make(map[string]bool)}
+	s := &routeState{tried: make(map[string]bool)}
 	for {
-		u := r.choose(c, j)
+		u := r.chooseUpstream(c, s)
 		outcome := messenger.OutcomeNotRun
 		if u == nil {
-			j.reason, j.after = "no upstream of the service can take it", defaultRetryAfter
-			pause(ctx, pauseWhenNone)
+			s.reason, s.retryAfter = "no upstream of the service can take it", defaultRetryAfter
+			pause(ctx, noUpstreamPause)
 		} else {
-			reply := r.try(ctx, c, j, u)
+			reply := r.attempt(ctx, c, s, u)
 			if reply.Outcome == messenger.OutcomeRun {
 				return &answer{
 					status: reply.Status, outcome: reply.Outcome, header: messenger.UnpackHeader(reply.Header), body: reply.Body,
 				}
 			}
 			outcome = reply.Outcome
-			r.note(ctx, j, u, reply)
+			r.recordUnanswered(ctx, s, u, reply)
 		}
 		if outcome == messenger.OutcomeNotRun {
-			j.moves++
+			s.notRun++
 		} else {
-			j.tries++
+			s.unknown++
 		}
 		again := ctx.Err() == nil && r.retrier.AllowRetry(retrier.FailedAttempt{
 			Service: c.service.Name, Outcome: outcome, Idempotent: c.idempotent,
-			NotRunAttempts: r.countedMoves(c, j), UnknownAttempts: j.tries, TimeLeft: c.deadline.Sub(r.config.Now()),
+			NotRunAttempts: r.countedNotRun(c, s), UnknownAttempts: s.unknown, TimeLeft: c.deadline.Sub(r.config.Now()),
 		})
 		if !again {
-			return j.giveUp(ctx)
+			return s.finalAnswer(ctx)
 		}
 	}
 }
 
-// countedMoves returns how many moves count against their limit: none while the
-// request only waits for a slot.
-func (r *Receiver) countedMoves(c *call, j *journey) int {
-	if j.reason == messenger.ReasonFull && r.config.Now().Sub(c.started) < slotWait {
+// countedNotRun returns how many of the attempts that did not run count against their
+// limit: none while the request is only waiting for a slot.
+func (r *Receiver) countedNotRun(c *call, s *routeState) int {
+	if s.reason == messenger.ReasonFull && r.config.Now().Sub(c.started) < slotRetryPeriod {
 		return 0
 	}
-	return j.moves
+	return s.notRun
 }
 
-// giveUp is the final answer of a request that no upstream answered. It says
-// not-run only if every attempt surely did not run.
-func (j *journey) giveUp(ctx context.Context) *answer {
-	if j.tries == 0 {
-		return refuseFor(http.StatusServiceUnavailable, j.reason, max(j.after, defaultRetryAfter))
+// finalAnswer returns the answer to a request that no upstream answered. The outcome is
+// not-run only if every attempt definitely did not run.
+func (s *routeState) finalAnswer(ctx context.Context) *answer {
+	if s.unknown == 0 {
+		return newRetryableRefusal(http.StatusServiceUnavailable, s.reason, max(s.retryAfter, defaultRetryAfter))
 	}
-	if j.late || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return unknown(http.StatusGatewayTimeout, j.reason)
+	if s.timedOut || errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return newUnknown(http.StatusGatewayTimeout, s.reason)
 	}
-	return unknown(http.StatusBadGateway, j.reason)
+	return newUnknown(http.StatusBadGateway, s.reason)
 }
 
-// choose returns an upstream, or nil if none can take the request now.
-func (r *Receiver) choose(c *call, j *journey) *tracker.Upstream {
+// chooseUpstream returns an upstream, or nil if none is ready.
+func (r *Receiver) chooseUpstream(c *call, s *routeState) *tracker.Upstream {
 	now := r.config.Now()
-	var buffer [maxCandidates]balancer.Candidate
-	var ready [maxCandidates]*tracker.Upstream
+	var buffer [stackCandidates]balancer.Candidate
+	var ready [stackCandidates]*tracker.Upstream
 	candidates, upstreams := buffer[:0], ready[:0]
-	fresh := false
+	untried := false
 	fleet := r.config.Fleet()
 	for _, u := range r.config.Tracker.Snapshot().Upstreams(c.service.Name) {
 		if !u.Ready(now) {
 			continue
 		}
 		candidate := u.Candidate(now)
-		candidate.Excluded, candidate.Avoid = j.tried[u.ID()], fleet.ZoneIsOut(u.Zone())
-		fresh = fresh || !candidate.Excluded
+		candidate.Excluded, candidate.Avoid = s.tried[u.ID()], fleet.ZoneIsOut(u.Zone())
+		untried = untried || !candidate.Excluded
 		candidates, upstreams = append(candidates, candidate), append(upstreams, u)
 	}
-	if !fresh {
+	if !untried {
 		for i := range candidates {
 			candidates[i].Excluded = false
 		}
@@ -128,7 +128,7 @@
 			return nil
 		}
 		u := upstreams[choice.Index]
-		j.usual = usualTime(candidates, choice.Index)
+		s.typicalLatency = meanLatencyOfOthers(candidates, choice.Index)
 		if candidates[choice.Index].Health != balancer.ProbeDue || u.Health().BeginProbe(now) {
 			return u
 		}
@@ -136,8 +136,9 @@
 	}
 }
 
-// usualTime returns the mean time of the candidates but the one chosen.
-func usualTime(candidates []balancer.Candidate, chosen int) time.Duration {
+// meanLatencyOfOthers returns the mean latency of the candidates other than the chosen
+// one.
+func meanLatencyOfOthers(candidates []balancer.Candidate, chosen int) time.Duration {
 	var sum time.Duration
 	n := 0
 	for i := range candidates {
@@ -152,48 +153,49 @@
 	return sum / time.Duration(n)
 }
 
-// try makes one attempt and checks the reply.
-func (r *Receiver) try(ctx context.Context, c *call, j *journey, u *tracker.Upstream) messenger.RunReply {
-	j.attempt++
-	left := r.attemptTime(c, j)
+// attempt sends the request to the upstream once and verifies the reply.
+func (r *Receiver) attempt(ctx context.Context, c *call, s *routeState, u *tracker.Upstream) messenger.RunReply {
+	s.attempt++
+	left := r.attemptTime(c, s)
 	req := messenger.RunRequest{
-		RequestID: c.id, Attempt: j.attempt, Upstream: u.ID(), Service: c.service.Name, Tenant: c.tenant.Name,
+		RequestID: c.id, Attempt: s.attempt, Upstream: u.ID(), Service: c.service.Name, Tenant: c.tenant.Name,
 		Method: c.method, Path: c.path, Header: messenger.PackHeader(c.header), Body: c.body, TimeoutMillis: messenger.Millis(left),
 	}
 	if left <= 0 || ctx.Err() != nil {
 		return messenger.RunReply{Outcome: messenger.OutcomeNotRun, Reason: "the deadline passed before sending"}
 	}
-	attempt, cancel := context.WithTimeout(ctx, left)
+	attemptCtx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	sent := r.config.Now()
-	reply, err := u.Run(attempt, req)
+	reply, err := u.Run(attemptCtx, req)
 	if err != nil {
-		reply = unanswered(attempt, err)
+		reply = replyForError(attemptCtx, err)
 	} else {
-		reply = r.check(req, reply, u)
+		reply = r.verifyReply(req, reply, u)
 	}
-	r.observe(attempt, c, u, reply, r.config.Now().Sub(sent))
+	r.recordHealth(attemptCtx, c, u, reply, r.config.Now().Sub(sent))
 	return reply
 }
 
-// check turns a reply that does not belong to the request or is not whole into
+// verifyReply replaces a reply that does not belong to the request or is incomplete by
 // an unknown outcome.
-func (r *Receiver) check(req messenger.RunRequest, reply messenger.RunReply, u *tracker.Upstream) messenger.RunReply {
-	if reason := mismatch(req, reply); reason != "" {
+func (r *Receiver) verifyReply(req messenger.RunRequest, reply messenger.RunReply, u *tracker.Upstream) messenger.RunReply {
+	if reason := replyError(req, reply); reason != "" {
 		r.config.Reporter.Report(reporter.AnswerBroken, reporter.Fields{"request-id": req.RequestID, "upstream": u.ID(), "reason": reason})
 		return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: reason}
 	}
 	return reply
 }
 
-// attemptTime is the time that one attempt may take. The first attempt of an
-// idempotent request leaves half of the time for another upstream, so that a
-// frozen one does not cost it the whole deadline; but only where that half is far
-// more than other upstreams take, else a slow service would never be answered.
-func (r *Receiver) attemptTime(c *call, j *journey) time.Duration {
+// attemptTime returns the time that an attempt may take. The first attempt of an
+// idempotent request gets half of the time left, so that a frozen upstream does not use
+// up the whole deadline and another one can be tried. This applies only if that half is
+// much longer than the latency of the other upstreams; otherwise requests to a slow
+// service would never be answered.
+func (r *Receiver) attemptTime(c *call, s *routeState) time.Duration {
 	left := c.deadline.Sub(r.config.Now())
 	half := left / 2
-	if !c.idempotent || j.attempt > 1 || j.usual == 0 || half < usualTimesAllowed*j.usual || half < minAttemptTime {
+	if !c.idempotent || s.attempt > 1 || s.typicalLatency == 0 || half < attemptLatencyMultiple*s.typicalLatency || half < minAttemptTime {
 		return left
 	}
 	if !r.retrier.HasBudget(c.service.Name) {
@@ -202,21 +204,22 @@
 	return half
 }
 
-// unanswered is the result of an attempt whose call failed. Only an agent that
-// says that it did nothing makes it not-run.
-func unanswered(attempt context.Context, err error) messenger.RunReply {
+// replyForError returns the result of an attempt whose call failed. The outcome is
+// not-run only if the agent reported that it did nothing.
+func replyForError(attemptCtx context.Context, err error) messenger.RunReply {
 	if connector.CodeOf(err) == messenger.CodeUnavailable {
 		return messenger.RunReply{Outcome: messenger.OutcomeNotRun, Reason: err.Error()}
 	}
-	if errors.Is(attempt.Err(), context.DeadlineExceeded) {
-		return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: "no answer came in time"}
+	if errors.Is(attemptCtx.Err(), context.DeadlineExceeded) {
+		return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: "the upstream did not answer before the attempt's deadline"}
 	}
-	return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: fmt.Sprintf("the agent was lost: %v", err)}
+	return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: fmt.Sprintf("the call to the agent failed: %v", err)}
 }
 
-// mismatch tells what is wrong with a reply. A reply to another request or with
-// a part of the body would reach the caller as a good answer.
-func mismatch(req messenger.RunRequest, reply messenger.RunReply) string {
+// replyError describes what is wrong with a reply, or returns an empty string. Without
+// this check, a reply to another request or with an incomplete body would reach the
+// caller as a valid answer.
+func replyError(req messenger.RunRequest, reply messenger.RunReply) string {
 	switch {
 	case reply.RequestID != req.RequestID || reply.Attempt != req.Attempt:
 		return fmt.Sprintf("the answer is for request %s, attempt %d", reply.RequestID, reply.Attempt)
@@ -232,20 +235,21 @@
 	return ""
 }
 
-// note remembers an attempt without an answer.
-func (r *Receiver) note(ctx context.Context, j *journey, u *tracker.Upstream, reply messenger.RunReply) {
-	j.tried[u.ID()] = true
-	j.reason = reply.Reason
-	if j.reason == "" {
-		j.reason = "the upstream gave no answer"
+// recordUnanswered records an attempt without an answer in the state of the request.
+func (r *Receiver) recordUnanswered(ctx context.Context, s *routeState, u *tracker.Upstream, reply messenger.RunReply) {
+	s.tried[u.ID()] = true
+	s.reason = reply.Reason
+	if s.reason == "" {
+		s.reason = "the upstream did not answer"
 	}
-	j.after = messenger.FromMillis(reply.RetryAfterMillis)
-	j.late = reply.Outcome == messenger.OutcomeUnknown && ctx.Err() != nil
+	s.retryAfter = messenger.FromMillis(reply.RetryAfterMillis)
+	s.timedOut = reply.Outcome == messenger.OutcomeUnknown && ctx.Err() != nil
 	if reply.Reason == messenger.ReasonFull {
-		pause(ctx, min(max(j.after, time.Millisecond), pauseWhenFull))
+		pause(ctx, min(max(s.retryAfter, time.Millisecond), maxFullPause))
 	}
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
