--- a/internal/request/admitter/admitter.go
+++ b/internal/request/admitter/admitter.go
@@ -120,7 +120,8 @@
 
 // ensureQueueSpace keeps the queue bounded. If the queue is full, it refuses the
 // last request of the tenant with the most waiting requests relative to its weight,
-// so that a flood from one tenant does not push out requests of the others.
+// so that a flood from one tenant does not push out requests of the others. It returns
+// false if the arriving request has to be refused instead.
 func (a *Admitter) ensureQueueSpace(q *queue, arriving *tenantQueue) bool {
 	if q.waiting < a.config.QueueLimit {
 		return true
--- a/internal/request/balancer/choices_test.go
+++ b/internal/request/balancer/choices_test.go
@@ -148,7 +148,7 @@
 		{"none, load 0.5", simulation{load: 0.5}},
 		{"none, load 0.8", simulation{load: 0.8}},
 		{"one 20 times slower, load 0.5", simulation{load: 0.5, slowdown: 20}},
-		{"one fails at once, load 0.5", simulation{load: 0.5, fail: true}},
+		{"one fails immediately, load 0.5", simulation{load: 0.5, fail: true}},
 	}
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
