--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -145,7 +145,7 @@
 
 func (c *Controller) newOwner(j *journaler.Journaler, books *bookkeeper.Books, tookOver time.Time, prior time.Duration) *owner {
 	o := &owner{
-		config: c.config, held: c.elector.Held, strained: c.elector.Strained,
+		config: c.config, held: c.elector.Held, strained: c.elector.RenewalOverdue,
 		epoch: j.Epoch(), tookOver: tookOver, priorLease: prior, books: books, journal: j,
 		calls: make(chan callEvent, callQueue), appended: make(chan appendEvent, 1),
 		contacted: make(chan contactEvent, 1), snapshots: make(chan snapshotEvent, 1),
--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -1,7 +1,7 @@
-// Package elector competes for the ownership of a cell by a lease in the
-// platform's key-value service, and knows until when this process surely holds
-// it. Ownership by lease only decides who should act; that two owners never
-// both decide is the journal's doing.
+// Package elector acquires the ownership of a cell with a lease in the platform's
+// key-value service, and tracks until when this process certainly holds it. The
+// lease only selects which process should act; the journal's fencing is what
+// prevents two owners from both committing decisions.
 package elector
 
 import (
@@ -16,18 +16,18 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths.
+// Durations, and fractions of the lease.
 const (
-	DefaultLease = 3 * time.Second
-	retryPause   = 100 * time.Millisecond
-	// watchWait bounds how long a watch that has gone silent, or is told nothing any
-	// more, leaves this process to believe in an owner that has gone.
-	watchWait   = 900 * time.Millisecond
-	renewShare  = 6 // renewals in one lease
-	outageShare = 3 // a third of the lease without a renewal counts as an outage
-	// patienceCalls is how many calls another process may need, as long as they take at
-	// present, to learn of a vacancy and to take the cell.
-	patienceCalls = 6
+	DefaultLease  = 3 * time.Second
+	retryInterval = 100 * time.Millisecond
+	// watchWait limits how long a watch that gets no reply, or no changes any more, can
+	// delay the detection that the owner's record was deleted.
+	watchWait           = 900 * time.Millisecond
+	renewalsPerLease    = 6
+	overdueLeaseDivisor = 3 // no renewal for a third of the lease counts as a store outage
+	// takeoverCalls is the number of store calls that another process may need to detect
+	// a vacancy and acquire the cell.
+	takeoverCalls = 6
 )
 
 // Config holds the settings of an Elector.
@@ -36,15 +36,16 @@
 	EntryID string
 	Address string        // RPC address of this process
 	Lease   time.Duration // 0: DefaultLease
-	// ReplaceOwn lets this process replace a record that an earlier life of it left
-	// behind, without waiting for the lease. What an owner does must then be safe
-	// also while its lease stands, by the epoch alone.
+	// ReplaceOwn lets this process replace the record of its own earlier incarnation
+	// without waiting for that lease to expire. The epoch alone must then protect
+	// whatever an owner does, because the earlier lease may still be valid.
 	ReplaceOwn bool
-	// Patience is how long this process leaves a vacant cell to others at least; longer
-	// while the store is slow, up to the lease.
+	// Patience is the minimum time that this process leaves a vacant cell to other
+	// processes before it tries to acquire it. While the store is slow the delay is
+	// longer, up to the length of the lease.
 	Patience time.Duration
 	Now      func() time.Time
-	// The calls of keeper.Keeper that elections use.
+	// Store calls; FromKeeper sets them.
 	FindRecords    func(ctx context.Context, o keeper.ListOptions) (keeper.ListResult, error)
 	GetRecord      func(ctx context.Context, key string) (keeper.Record, error)
 	CompareAndSwap func(ctx context.Context, o keeper.SwapOptions) (int64, error)
@@ -54,21 +55,21 @@
 	Watch          func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error)
 }
 
-// FromKeeper sets the calls of c to those of k.
+// FromKeeper returns c with its store calls set to those of k.
 func FromKeeper(c Config, k *keeper.Keeper) Config {
 	c.FindRecords, c.GetRecord, c.CompareAndSwap, c.Watch = k.FindRecords, k.GetRecord, k.CompareAndSwap, k.Watch
 	c.GrantLease, c.KeepAlive, c.RevokeLease = k.GrantLease, k.KeepAlive, k.RevokeLease
 	return c
 }
 
-// Elector competes for one cell.
+// Elector competes for the ownership of one cell.
 type Elector struct {
-	config  Config
-	lease   int64
-	renewed atomic.Pointer[time.Time] // sent time of the last renewal that succeeded
-	known   atomic.Pointer[messenger.CellOwner]
-	rev     int64
-	took    time.Duration // by the last read of the owner's record that was answered
+	config      Config
+	lease       int64
+	lastRenewal atomic.Pointer[time.Time] // when the last successful renewal was sent
+	lastSeen    atomic.Pointer[messenger.CellOwner]
+	revision    int64
+	readLatency time.Duration // of the last successful read of the owner's record
 }
 
 // New returns an Elector.
@@ -84,29 +85,29 @@
 
 func (e *Elector) key() string { return fmt.Sprintf("cells/%s/owner", e.config.Cell) }
 
-// Known returns the owner as last seen in the store.
+// Known returns the owner as last read from the store.
 func (e *Elector) Known() (messenger.CellOwner, bool) {
-	o := e.known.Load()
+	o := e.lastSeen.Load()
 	if o == nil || o.EntryID == "" || o.Epoch == 0 {
 		return messenger.CellOwner{}, false
 	}
 	return *o, true
 }
 
-// Held tells whether this process surely holds the ownership now.
+// Held reports whether this process certainly holds the ownership now.
 //
-// The time counts from before the renewal was sent, while the store counts from
-// when it received it, so this side always ends first. A process that was
-// paused finds the time gone when it wakes. The wall clock is compared as well,
-// since the monotonic clock stands still while a whole VM is suspended.
+// The lease is counted from before the renewal was sent, whereas the store counts
+// from when it received the renewal, so it always ends here first. A process that
+// was paused finds the lease expired when it resumes. The wall clock is compared as
+// well, because the monotonic clock does not advance while a whole VM is suspended.
 func (e *Elector) Held() bool { return e.sinceRenewal() < e.config.Lease }
 
-// Strained tells that the lease could not be renewed for so long that the store
-// may be away.
-func (e *Elector) Strained() bool { return e.sinceRenewal() > e.config.Lease/outageShare }
+// RenewalOverdue reports whether the lease was not renewed for so long that the store
+// may be unavailable.
+func (e *Elector) RenewalOverdue() bool { return e.sinceRenewal() > e.config.Lease/overdueLeaseDivisor }
 
 func (e *Elector) sinceRenewal() time.Duration {
-	at := e.renewed.Load()
+	at := e.lastRenewal.Load()
 	if at == nil {
 		return 1 << 62
 	}
@@ -114,84 +115,86 @@
 	return max(now.Sub(*at), now.Round(0).Sub(at.Round(0)))
 }
 
-// Acquire waits until this process holds the ownership. The owner's record
-// carries no epoch until Publish.
+// Acquire waits until this process holds the ownership. The owner's record has no
+// epoch until Publish is called.
 func (e *Elector) Acquire(ctx context.Context) error {
-	for wait := e.config.Patience > 0; ; {
-		if wait {
+	for awaitFirst := e.config.Patience > 0; ; {
+		if awaitFirst {
 			e.awaitVacancy(ctx)
-			if err := pauser.Pause(ctx, e.patience()); err != nil {
+			if err := pauser.Pause(ctx, e.acquireDelay()); err != nil {
 				return err
 			}
 		}
-		taken, err := e.try(ctx)
+		heldByOther, err := e.tryAcquire(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err == nil && !taken {
+		if err == nil && !heldByOther {
 			return nil
 		}
-		wait = taken || e.config.Patience > 0
+		awaitFirst = heldByOther || e.config.Patience > 0
 		if err != nil {
-			_ = pauser.Pause(ctx, retryPause)
+			_ = pauser.Pause(ctx, retryInterval)
 		}
 	}
 }
 
-// patience is how long this process leaves a vacant cell to others now.
-func (e *Elector) patience() time.Duration {
+// acquireDelay returns how long this process currently leaves a vacant cell to others.
+func (e *Elector) acquireDelay() time.Duration {
 	if e.config.Patience <= 0 {
 		return 0
 	}
-	return max(e.config.Patience, min(patienceCalls*e.took, e.config.Lease))
+	return max(e.config.Patience, min(takeoverCalls*e.readLatency, e.config.Lease))
 }
 
-// try makes one attempt; taken means that another process holds the ownership.
-func (e *Elector) try(ctx context.Context) (taken bool, err error) {
+// tryAcquire tries once to acquire the ownership; heldByOther means that another process
+// has it.
+func (e *Elector) tryAcquire(ctx context.Context) (heldByOther bool, err error) {
 	record, err := e.config.GetRecord(ctx, e.key())
 	switch {
 	case keeper.IsErrKeyNotExist(err):
 		record = keeper.Record{}
 	case err != nil:
 		return false, err
-	case !e.left(record):
-		e.learn(record)
+	case !e.isOwnEarlierRecord(record):
+		e.rememberOwner(record)
 		return true, nil
 	}
-	e.known.Store(nil)
+	e.lastSeen.Store(nil)
 	sent := e.config.Now()
 	lease, err := e.config.GrantLease(ctx, e.config.Lease)
 	if err != nil {
 		return false, err
 	}
-	value, err := e.record(0)
+	value, err := e.encodeOwner(0)
 	if err != nil {
 		return false, err
 	}
 	rev, err := e.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: e.key(), Value: value, ExpectRevision: record.Revision, Lease: lease.ID})
-	if keeper.IsErrOutcomeUnknown(err) { // settle a lost answer by reading back
+	if keeper.IsErrOutcomeUnknown(err) { // read back to resolve the outcome
 		record, readErr := e.config.GetRecord(ctx, e.key())
 		if readErr == nil && record.Lease == lease.ID {
 			rev, err = record.Revision, nil
 		}
 	}
 	if err != nil {
-		// If it took effect unseen, the record goes with the lease.
+		// If the swap took effect all the same, revoking the lease deletes the record.
 		_ = e.config.RevokeLease(ctx, lease.ID)
 		return keeper.IsErrConflict(err), ignoreConflict(err)
 	}
-	e.lease, e.rev = lease.ID, rev
-	e.renewed.Store(&sent)
+	e.lease, e.revision = lease.ID, rev
+	e.lastRenewal.Store(&sent)
 	return false, nil
 }
 
-// left tells whether a record was left behind by an earlier life of this process.
+// isOwnEarlierRecord reports whether a record belongs to an earlier incarnation of this
+// process and may be replaced.
 //
-// All processes may be killed at once and be back within half a second; without this
-// nobody owns the cell until the dead owner's lease has run out, and callers' work
-// stands still for up to two seconds. There is one process of an entry at an address,
-// so the earlier one has ended.
-func (e *Elector) left(record keeper.Record) bool {
+// All processes may be killed at once and restart within half a second. Without this
+// the cell has no owner until the killed owner's lease expires, and callers' work stalls
+// for up to two seconds. Only one process of an entry runs at an address, so the earlier
+// one has ended.
+func (e *Elector) isOwnEarlierRecord(record keeper.Record) bool {
 	var o messenger.CellOwner
 	if !e.config.ReplaceOwn || json.Unmarshal(record.Value, &o) != nil {
 		return false
@@ -206,7 +209,7 @@
 	return err
 }
 
-func (e *Elector) record(epoch int64) ([]byte, error) {
+func (e *Elector) encodeOwner(epoch int64) ([]byte, error) {
 	value, err := json.Marshal(messenger.CellOwner{
 		Cell: e.config.Cell, Epoch: epoch, EntryID: e.config.EntryID, Address: e.config.Address,
 	})
@@ -216,42 +219,43 @@
 	return value, nil
 }
 
-func (e *Elector) learn(record keeper.Record) {
+func (e *Elector) rememberOwner(record keeper.Record) {
 	var o messenger.CellOwner
 	if json.Unmarshal(record.Value, &o) == nil {
-		e.known.Store(&o)
+		e.lastSeen.Store(&o)
 	}
 }
 
-// awaitVacancy returns when the owner's record is gone, or is one of an earlier life of this
-// process.
+// awaitVacancy returns when the owner's record does not exist, or belongs to an earlier
+// incarnation of this process.
 func (e *Elector) awaitVacancy(ctx context.Context) {
 	for ctx.Err() == nil {
 		sent := e.config.Now()
-		record, revision, err := e.find(ctx)
+		record, revision, err := e.findOwner(ctx)
 		if err == nil {
-			e.took = e.config.Now().Sub(sent)
-			if record.Revision == 0 || e.left(record) {
-				e.known.Store(nil)
+			e.readLatency = e.config.Now().Sub(sent)
+			if record.Revision == 0 || e.isOwnEarlierRecord(record) {
+				e.lastSeen.Store(nil)
 				return
 			}
-			e.learn(record)
-			gone, watchErr := e.follow(ctx, revision)
-			if gone {
-				e.known.Store(nil)
+			e.rememberOwner(record)
+			deleted, watchErr := e.watchUntilDeleted(ctx, revision)
+			if deleted {
+				e.lastSeen.Store(nil)
 				return
 			}
 			err = watchErr
 		}
 		if err != nil {
-			_ = pauser.Pause(ctx, retryPause)
+			_ = pauser.Pause(ctx, retryInterval)
 		}
 	}
 }
 
-// find reads the owner's record, of revision 0 if there is none, and the store's revision. A
-// watch has to begin there: the store forgets the one at which a long ownership began.
-func (e *Elector) find(ctx context.Context) (keeper.Record, int64, error) {
+// findOwner reads the owner's record, with revision 0 if there is none, and the store's
+// current revision. A watch has to start at the current revision: the store discards its
+// history up to the revision at which a long ownership began.
+func (e *Elector) findOwner(ctx context.Context) (keeper.Record, int64, error) {
 	found, err := e.config.FindRecords(ctx, keeper.ListOptions{Prefix: e.key(), Limit: 1})
 	if err != nil {
 		return keeper.Record{}, 0, err
@@ -264,8 +268,9 @@
 	return keeper.Record{}, found.Revision, nil
 }
 
-// follow watches the owner's record until it is gone or a watch tells nothing.
-func (e *Elector) follow(ctx context.Context, after int64) (gone bool, err error) {
+// watchUntilDeleted watches the owner's record until it is deleted, or until a watch fails
+// or returns no changes.
+func (e *Elector) watchUntilDeleted(ctx context.Context, after int64) (deleted bool, err error) {
 	for {
 		seen, err := e.config.Watch(ctx, keeper.WatchOptions{Prefix: e.key(), After: after, Wait: watchWait})
 		if err != nil || len(seen.Changes) == 0 {
@@ -276,69 +281,69 @@
 			if c.Deleted {
 				return true, nil
 			}
-			e.learn(c.Record)
+			e.rememberOwner(c.Record)
 		}
 	}
 }
 
-// Publish writes the epoch into the owner's record, so that others find the
+// Publish writes the epoch into the owner's record, so that other processes find the
 // new owner.
 func (e *Elector) Publish(ctx context.Context, epoch int64) error {
-	value, err := e.record(epoch)
+	value, err := e.encodeOwner(epoch)
 	if err != nil {
 		return err
 	}
 	for {
-		rev, err := e.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: e.key(), Value: value, ExpectRevision: e.rev, Lease: e.lease})
+		rev, err := e.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: e.key(), Value: value, ExpectRevision: e.revision, Lease: e.lease})
 		if err == nil {
-			e.rev = rev
+			e.revision = rev
 			break
 		}
 		record, readErr := e.config.GetRecord(ctx, e.key())
-		if readErr == nil && record.Lease == e.lease && record.Revision != e.rev {
-			e.rev = record.Revision // the answer was lost after the effect
+		if readErr == nil && record.Lease == e.lease && record.Revision != e.revision {
+			e.revision = record.Revision // the swap took effect, only its reply was lost
 			break
 		}
 		if keeper.IsErrConflict(err) || keeper.IsErrLeaseNotExist(err) || !e.Held() {
 			return fmt.Errorf("publish owner of cell %s: %w", e.config.Cell, err)
 		}
-		if err := pauser.Pause(ctx, retryPause); err != nil {
+		if err := pauser.Pause(ctx, retryInterval); err != nil {
 			return err
 		}
 	}
-	e.known.Store(&messenger.CellOwner{Cell: e.config.Cell, Epoch: epoch, EntryID: e.config.EntryID, Address: e.config.Address})
+	e.lastSeen.Store(&messenger.CellOwner{Cell: e.config.Cell, Epoch: epoch, EntryID: e.config.EntryID, Address: e.config.Address})
 	return nil
 }
 
-// Keep renews the lease until it has ended or ctx ends.
+// Keep renews the lease until the lease has expired or ctx ends.
 func (e *Elector) Keep(ctx context.Context) error {
 	for {
-		if err := pauser.Pause(ctx, e.config.Lease/renewShare); err != nil {
+		if err := pauser.Pause(ctx, e.config.Lease/renewalsPerLease); err != nil {
 			return err
 		}
 		sent := e.config.Now()
 		err := e.config.KeepAlive(ctx, e.lease)
 		if err == nil {
-			e.renewed.Store(&sent)
+			e.lastRenewal.Store(&sent)
 			continue
 		}
 		if keeper.IsErrLeaseNotExist(err) {
-			e.renewed.Store(nil)
-			e.known.Store(nil)
+			e.lastRenewal.Store(nil)
+			e.lastSeen.Store(nil)
 			return err
 		}
 	}
 }
 
-// Fence returns what a transaction of this owner must expect, so that it fails
-// once the ownership has ended. It is valid after Publish.
+// Fence returns the condition that makes a transaction of this owner fail once the
+// ownership has ended. It is valid after Publish.
 func (e *Elector) Fence() keeper.Expectation {
-	return keeper.Expectation{Key: e.key(), Revision: e.rev}
+	return keeper.Expectation{Key: e.key(), Revision: e.revision}
 }
 
-// Release gives the ownership up.
+// Release ends the ownership by revoking the lease.
 func (e *Elector) Release(ctx context.Context) error {
-	e.renewed.Store(nil)
+	e.lastRenewal.Store(nil)
 	if err := e.config.RevokeLease(ctx, e.lease); err != nil {
 		return fmt.Errorf("release cell %s: %w", e.config.Cell, err)
 	}
--- a/internal/control/elector/elector_test.go
+++ b/internal/control/elector/elector_test.go
@@ -13,20 +13,20 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// Callers wait two seconds longer than they need to. The owner of a cell is killed
-// and back at once; its record stands until its lease has run out, so it waits for
-// itself. It takes its own record over, another entry's it leaves alone.
-func TestRecordOfAnEarlierLife(t *testing.T) {
+// Guards against a cell without an owner for up to two seconds: the owner is killed and
+// restarts at once, but its record exists until its lease has expired, so it would wait
+// for itself. It must replace its own record and never that of another entry.
+func TestReplacesRecordOfEarlierIncarnation(t *testing.T) {
 	const lease = 2 * time.Second
 	tests := []struct {
 		name    string
 		id      string
 		address string
 		replace bool
-		want    bool // before the first one's lease has run out
+		want    bool // acquired before the first lease expires
 	}{
 		{"the same entry", "entry-1", "127.0.0.1:1", true, true},
-		{"the same entry, not allowed", "entry-1", "127.0.0.1:1", false, false},
+		{"the same entry without ReplaceOwn", "entry-1", "127.0.0.1:1", false, false},
 		{"another entry", "entry-2", "127.0.0.1:2", true, false},
 		{"the same name at another address", "entry-1", "127.0.0.1:3", true, false},
 	}
@@ -47,7 +47,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), lease/2)
 			defer cancel()
 			if got := second.Acquire(ctx) == nil; got != tt.want {
-				t.Fatalf("acquired at once: %t", got)
+				t.Fatalf("acquired before the lease expired: %t, want %t", got, tt.want)
 			}
 			if !tt.want {
 				return
@@ -58,16 +58,16 @@
 			swap := keeper.SwapOptions{Key: "x", Value: []byte("late")}
 			fence := first.Fence()
 			if _, err := k.Transact(t.Context(), keeper.Transaction{Expect: []keeper.Expectation{fence}, Puts: []keeper.Put{{Key: swap.Key, Value: swap.Value}}}); !keeper.IsErrConflict(err) {
-				t.Errorf("the earlier life still writes: %v", err)
+				t.Errorf("transaction of the earlier incarnation: %v, want a conflict", err)
 			}
 		})
 	}
 }
 
-// Everything is late on a large fleet: the smallest entry, whose processor and link are
-// busy with callers, happens to be the first at a vacant cell. It leaves the cell to
-// others for a moment, and takes it if none comes.
-func TestPatientEntryLeavesTheCellToOthers(t *testing.T) {
+// Guards against delays on a large fleet when the smallest entry, whose processor and link
+// are busy with callers, becomes the owner because it is the first to see a vacant cell. It
+// must leave the cell to other entries for a moment, and acquire it if none does.
+func TestAcquireDelayLetsOthersAcquireFirst(t *testing.T) {
 	server := httptest.NewServer(storer.New(storer.Config{}).Handler())
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	k := keeper.New(keeper.Config{URL: server.URL, CallTimeout: time.Second})
@@ -83,7 +83,7 @@
 	}
 	select {
 	case err := <-acquired:
-		t.Fatalf("the small entry took the cell as well: %v", err)
+		t.Fatalf("the small entry acquired the cell while the large one owns it: %v", err)
 	case <-time.After(500 * time.Millisecond):
 	}
 	if err := large.Release(ctx); err != nil {
@@ -95,24 +95,24 @@
 			t.Fatal(err)
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("nobody takes the vacant cell")
+		t.Error("the small entry did not acquire the vacant cell")
 	}
 }
 
-// The owner's record goes while the watch of another entry has gone silent, or is told
-// nothing any more, as by a store that counts its revisions anew: the entry must not
-// believe in the owner for longer than a lost owner may cost.
-func TestVacancyThatTheWatchDoesNotTell(t *testing.T) {
+// Guards against a missed vacancy: the owner's record is deleted while the watch of another
+// entry gets no reply, or no changes any more, as from a store whose revisions restarted.
+// The entry must acquire the cell within the time that the loss of an owner may take.
+func TestVacancyIsDetectedWithoutWatchEvent(t *testing.T) {
 	const limit = 2500 * time.Millisecond
 	watches := []struct {
 		name  string
 		watch func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error)
 	}{
-		{"silent", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
+		{"no reply", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 			err := pauser.Pause(ctx, o.Wait+time.Second)
 			return keeper.WatchResult{}, errors.Join(err, keeper.ErrUnavailable{Cause: errors.New("no answer")})
 		}},
-		{"told nothing", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
+		{"no changes", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 			return keeper.WatchResult{Revision: o.After}, pauser.Pause(ctx, o.Wait)
 		}},
 	}
@@ -153,9 +153,9 @@
 	}
 }
 
-// forgetful returns a store whose history up to its present revision is dropped, with a count of
-// the calls that entry-2 makes.
-func forgetful(t *testing.T, patience time.Duration) (first, second *Elector, calls *atomic.Int64) {
+// newElectorsOnCompactedStore returns two electors at a store without history before its current
+// revision, and the number of calls that entry-2 makes. The first one owns the cell.
+func newElectorsOnCompactedStore(t *testing.T, patience time.Duration) (first, second *Elector, calls *atomic.Int64) {
 	t.Helper()
 	server := httptest.NewServer(storer.New(storer.Config{}).Handler())
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
@@ -189,16 +189,16 @@
 	return first, New(c), calls
 }
 
-// Guards against entries that ask the store again and again, once it has forgotten the time at
-// which the owner took the cell.
-func TestALongOwnershipIsWatched(t *testing.T) {
-	first, second, calls := forgetful(t, 0)
+// Guards against entries that call the store in a tight loop once it has discarded the
+// revision at which the owner acquired the cell.
+func TestWatchAfterHistoryCompaction(t *testing.T) {
+	first, second, calls := newElectorsOnCompactedStore(t, 0)
 	acquired := make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { acquired <- second.Acquire(ctx) }()
 	time.Sleep(watchWait + 500*time.Millisecond)
 	if n := calls.Load(); n > 6 {
-		t.Errorf("%d calls while nothing changed", n)
+		t.Errorf("%d store calls while nothing changed, want 6 at most", n)
 	}
 	released := time.Now()
 	if err := first.Release(t.Context()); err != nil {
@@ -210,26 +210,26 @@
 	cancel()
 }
 
-// Guards against an entry on a small VM that takes a cell the moment that it is vacant, since it
-// happened to look just then.
-func TestAPatientEntryWaitsFromTheVacancyOn(t *testing.T) {
+// Guards against an entry on a small VM that acquires a cell at the moment it becomes vacant
+// because it happened to check just then.
+func TestAcquireDelayStartsAtVacancy(t *testing.T) {
 	const patience = 400 * time.Millisecond
 	tests := []struct {
 		name  string
 		watch func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error)
-		slow  time.Duration // of each list
-		least time.Duration // from the vacancy to the cell
+		slow  time.Duration // delay of each list call
+		least time.Duration // from the vacancy to the acquisition
 	}{
 		{"watched", nil, 0, patience},
-		{"no watch is answered", func(context.Context, keeper.WatchOptions) (keeper.WatchResult, error) {
+		{"every watch fails", func(context.Context, keeper.WatchOptions) (keeper.WatchResult, error) {
 			return keeper.WatchResult{}, keeper.ErrUnavailable{Cause: errors.New("refused")}
 		}, 0, patience},
-		{"the store is slow", nil, 150 * time.Millisecond, patienceCalls * 150 * time.Millisecond},
+		{"the store is slow", nil, 150 * time.Millisecond, takeoverCalls * 150 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			first, second, _ := forgetful(t, patience)
+			first, second, _ := newElectorsOnCompactedStore(t, patience)
 			if tt.watch != nil {
 				second.config.Watch = tt.watch
 			}
