--- a/internal/control/controller/bench_test.go
+++ b/internal/control/controller/bench_test.go
@@ -121,7 +121,7 @@
 		if every > 0 && (n+1)%every == 0 {
 			state, err := books.Encode()
 			if err == nil {
-				err = j.Snapshot(context.Background(), j.Next()-1, state)
+				err = j.Snapshot(context.Background(), j.NextSeq()-1, state)
 			}
 			if err != nil {
 				b.Fatal(err)
--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -150,7 +150,7 @@
 		calls: make(chan callEvent, callQueue), appended: make(chan appendEvent, 1),
 		contacted: make(chan contactEvent, 1), snapshots: make(chan snapshotEvent, 1),
 		stop: make(chan struct{}, 1), done: make(chan struct{}),
-		commits: commits{next: j.Next(), open: make(map[string]int)},
+		commits: commits{next: j.NextSeq(), open: make(map[string]int)},
 		fleet:   c.config.Fleet(), returned: make(map[string]time.Time),
 		sessions: make(map[string]*session), waits: make(map[string]string), dirty: true,
 	}
--- a/internal/control/journaler/memory_test.go
+++ b/internal/control/journaler/memory_test.go
@@ -13,30 +13,30 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// memory is a store in memory. Before each call it asks its seam, which may let
-// another owner run first, refuse the call, or lose the answer after the effect.
+// memory is a store in memory. Each call first calls injectFault, which may let another
+// owner run, refuse the call, or lose the reply after the call took effect.
 type memory struct {
-	records  map[string]keeper.Record
-	revision int64
-	seam     func(kind string) fault
+	records     map[string]keeper.Record
+	revision    int64
+	injectFault func(kind string) fault
 }
 
 type fault int
 
 const (
-	none fault = iota
+	noFault fault = iota
 	refused
-	answerLost
+	replyLost
 )
 
 func newMemory() *memory {
-	return &memory{records: make(map[string]keeper.Record), seam: func(string) fault { return none }}
+	return &memory{records: make(map[string]keeper.Record), injectFault: func(string) fault { return noFault }}
 }
 
 func errRefused() error { return keeper.ErrUnavailable{Cause: errors.New("refused")} }
 
 func (m *memory) get(_ context.Context, key string) (keeper.Record, error) {
-	if m.seam("get") != none {
+	if m.injectFault("get") != noFault {
 		return keeper.Record{}, errRefused()
 	}
 	r, ok := m.records[key]
@@ -47,7 +47,7 @@
 }
 
 func (m *memory) find(_ context.Context, o keeper.ListOptions) (keeper.ListResult, error) {
-	if m.seam("list") != none {
+	if m.injectFault("list") != noFault {
 		return keeper.ListResult{}, errRefused()
 	}
 	var out keeper.ListResult
@@ -57,14 +57,14 @@
 		}
 	}
 	sort.Slice(out.Records, func(i, j int) bool { return out.Records[i].Key < out.Records[j].Key })
-	if len(out.Records) > 3 { // small pages
+	if len(out.Records) > 3 { // short pages, so that callers have to ask for more
 		out.Records, out.More = out.Records[:3], true
 	}
 	return out, nil
 }
 
 func (m *memory) swap(_ context.Context, o keeper.SwapOptions) (int64, error) {
-	f := m.seam("swap")
+	f := m.injectFault("swap")
 	if f == refused {
 		return 0, errRefused()
 	}
@@ -73,14 +73,14 @@
 	}
 	m.revision++
 	m.records[o.Key] = keeper.Record{Key: o.Key, Value: o.Value, Revision: m.revision}
-	if f == answerLost {
+	if f == replyLost {
 		return 0, keeper.ErrOutcomeUnknown{Cause: errors.New("lost")}
 	}
 	return m.revision, nil
 }
 
 func (m *memory) delete(_ context.Context, key string, revision int64) error {
-	if m.seam("delete") != none {
+	if m.injectFault("delete") != noFault {
 		return errRefused()
 	}
 	if r, ok := m.records[key]; !ok || r.Revision != revision {
@@ -99,14 +99,16 @@
 	})
 }
 
-func text(s string) []json.RawMessage { return []json.RawMessage{json.RawMessage(`"` + s + `"`)} }
+func textRecords(s string) []json.RawMessage {
+	return []json.RawMessage{json.RawMessage(`"` + s + `"`)}
+}
 
-func opening(epoch int64) ([]json.RawMessage, error) {
-	return text(fmt.Sprintf("epoch %d", epoch)), nil
+func openingRecords(epoch int64) ([]json.RawMessage, error) {
+	return textRecords(fmt.Sprintf("epoch %d", epoch)), nil
 }
 
-// replayed returns all records in order; a snapshot of these tests is the list
-// of the records so far.
+// replayed returns all records in order. In these tests a snapshot is the list of the
+// records so far.
 func replayed(r Recovered) []string {
 	var all []string
 	_ = json.Unmarshal(r.Snapshot, &all)
@@ -121,7 +123,7 @@
 }
 
 func mustOpen(t testing.TB, j *Journaler) []string {
-	r, err := j.Open(context.Background(), opening)
+	r, err := j.Open(context.Background(), openingRecords)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/journaler/snapshot.go
+++ b/internal/control/journaler/snapshot.go
@@ -10,9 +10,9 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// head names the snapshot in force.
+// head identifies the current snapshot.
 type head struct {
-	Seq    int64 `json:"seq"` // last entry that it contains
+	Seq    int64 `json:"seq"` // last entry that the snapshot contains
 	Epoch  int64 `json:"epoch"`
 	Chunks int   `json:"chunks"`
 }
@@ -25,17 +25,17 @@
 	return fmt.Sprintf("%s%020d/%04d", j.chunkPrefix(), seq, chunk)
 }
 
-// SnapshotDue tells whether enough entries have been appended since the last
+// SnapshotDue reports whether enough entries have been appended since the last
 // snapshot.
-func (j *Journaler) SnapshotDue() bool { return len(j.tail) >= j.config.SnapshotEvery }
+func (j *Journaler) SnapshotDue() bool { return len(j.unsnapshotted) >= j.config.SnapshotEvery }
 
-// Snapshot stores the state as of the entry seq and deletes what it replaces.
-// It may run beside Append, but not beside another Snapshot. The snapshot holds
-// exactly the entries up to seq, all of them journalled.
+// Snapshot stores the state as of entry seq and deletes the entries and the earlier
+// snapshot that it replaces. It may run concurrently with Append, but not with another
+// Snapshot. The state must contain exactly the entries up to seq, all of them journalled.
 func (j *Journaler) Snapshot(ctx context.Context, seq int64, state []byte) error {
 	err := j.snapshot(ctx, seq, state)
 	if err != nil {
-		j.listed = false // what is left over is looked for by the next one
+		j.leftoversDeleted = false // the next snapshot searches for what this one left in the store
 	}
 	return err
 }
@@ -59,7 +59,7 @@
 	_, err := j.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: key, Value: part})
 	var conflict keeper.ErrConflict
 	if errors.As(err, &conflict) {
-		current, readErr := j.readConflict(ctx, conflict)
+		current, readErr := j.conflictingRecord(ctx, conflict)
 		if readErr == nil && bytes.Equal(current.Value, part) {
 			return nil
 		}
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// putHead moves the head to a later snapshot. It is swapped, so that a paused
-// earlier owner that wakes can't move it back.
+// putHead sets the head to a later snapshot. It uses compare-and-swap, so that an earlier
+// owner that was paused can't set it back when it resumes.
 func (j *Journaler) putHead(ctx context.Context, h head) error {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return fmt.Errorf("encode snapshot head: %w", err)
 	}
-	for range maxOpenTries {
+	for range maxTries {
 		revision, err := j.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: j.headKey(), Value: value, ExpectRevision: j.headRev})
 		if err == nil {
 			j.head, j.headRev = h, revision
@@ -86,17 +86,17 @@
 		if err := j.readHead(ctx); err != nil {
 			return err
 		}
-		if j.head == h { // the answer to an earlier try was lost
+		if j.head == h { // an earlier try took effect, only its reply was lost
 			return nil
 		}
 		if j.head.Seq > h.Seq || j.head.Epoch > h.Epoch {
 			return ErrFenced{Cell: j.config.Cell, Seq: h.Seq}
 		}
-		if err := j.config.Pause(ctx, firstRetry); err != nil {
+		if err := j.config.Pause(ctx, minRetryInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("move snapshot head of cell %s: too many conflicts", j.config.Cell)
+	return fmt.Errorf("set snapshot head of cell %s to entry %d: %d tries failed", j.config.Cell, h.Seq, maxTries)
 }
 
 func (j *Journaler) readHead(ctx context.Context) error {
@@ -121,7 +121,7 @@
 	for chunk := range j.head.Chunks {
 		record, err := j.config.GetRecord(ctx, j.chunkKey(j.head.Seq, chunk))
 		if keeper.IsErrKeyNotExist(err) {
-			return nil, errMoved
+			return nil, errTruncated
 		}
 		if err != nil {
 			return nil, fmt.Errorf("read snapshot chunk %d: %w", chunk, err)
@@ -131,9 +131,10 @@
 	return state, nil
 }
 
+// deleteChunks deletes the chunks of the snapshot that was replaced.
 func (j *Journaler) deleteChunks(ctx context.Context, old head) error {
-	if !j.listed {
-		return j.listChunks(ctx)
+	if !j.leftoversDeleted {
+		return j.deleteEarlierChunks(ctx)
 	}
 	for chunk := range old.Chunks {
 		key := j.chunkKey(old.Seq, chunk)
@@ -151,9 +152,9 @@
 	return nil
 }
 
-// listChunks deletes the chunks of all earlier snapshots, also of ones that failed. Those
-// above the head are left: a successor may be writing them.
-func (j *Journaler) listChunks(ctx context.Context) error {
+// deleteEarlierChunks deletes the chunks of all earlier snapshots, including those that
+// failed. Chunks above the head stay: a successor may be writing them.
+func (j *Journaler) deleteEarlierChunks(ctx context.Context) error {
 	after, end := "", j.chunkKey(j.head.Seq, 0)
 	for {
 		page, err := j.config.FindRecords(ctx, keeper.ListOptions{Prefix: j.chunkPrefix(), After: after})
@@ -176,26 +177,26 @@
 	}
 }
 
-// deleteEntries deletes the journal up to seq, but never an opening entry.
+// deleteEntries deletes the journal up to seq, except for opening entries.
 //
-// A paused earlier owner holds as its next sequence number the one at which its
-// successor's opening entry stands. Were that entry deleted because a snapshot
-// covers it, the owner's create-if-absent would succeed when it wakes, and it
-// would take its decisions as journalled and start tasks twice. Any other entry
-// may go: an owner only ever repeats a number that it was already writing, and
-// such a repeat lies below the snapshot's head, where nobody reads.
+// The next sequence number of a paused earlier owner is that of its successor's opening
+// entry. If that entry were deleted because a snapshot covers it, the earlier owner's
+// create-if-absent would succeed when it resumes: it would treat its decisions as
+// journalled and start tasks twice. Any other entry may be deleted: an owner only retries
+// a number that it was already writing, and such a retry is below the snapshot head,
+// where entries are not read any more.
 func (j *Journaler) deleteEntries(ctx context.Context, seq int64) error {
-	if !j.listed {
-		if err := j.listOld(ctx, seq); err != nil {
+	if !j.leftoversDeleted {
+		if err := j.deleteEarlierEntries(ctx, seq); err != nil {
 			return err
 		}
-		j.listed = true
+		j.leftoversDeleted = true
 	}
 	for {
 		select {
-		case r := <-j.tail:
+		case r := <-j.unsnapshotted:
 			if r.seq > seq {
-				j.putBack(r)
+				j.requeue(r)
 				return nil
 			}
 			if r.opens || r.revision == 0 {
@@ -210,16 +211,16 @@
 	}
 }
 
-// putBack returns an entry that was read too far; order does not matter beyond
-// the count, since each is compared with the snapshot's sequence number.
-func (j *Journaler) putBack(r ref) {
+// requeue puts back an entry that the snapshot does not cover. The order of the queue does
+// not matter, since each entry is compared with the snapshot's sequence number.
+func (j *Journaler) requeue(r entryRef) {
 	select {
-	case j.tail <- r:
+	case j.unsnapshotted <- r:
 	default:
 	}
 }
 
-func (j *Journaler) deleteEntry(ctx context.Context, r ref) error {
+func (j *Journaler) deleteEntry(ctx context.Context, r entryRef) error {
 	err := j.config.DeleteRecord(ctx, j.entryKey(r.seq), r.revision)
 	if err != nil && !keeper.IsErrKeyNotExist(err) && !keeper.IsErrConflict(err) {
 		return fmt.Errorf("delete journal entry %d: %w", r.seq, err)
@@ -230,11 +231,12 @@
 	return nil
 }
 
-// listOld deletes what an earlier owner left below the snapshot, once an epoch.
-func (j *Journaler) listOld(ctx context.Context, seq int64) error {
+// deleteEarlierEntries deletes the entries up to seq that earlier owners left in the store.
+// It runs once per epoch, and again after a snapshot failed.
+func (j *Journaler) deleteEarlierEntries(ctx context.Context, seq int64) error {
 	after := ""
 	for {
-		page, err := j.config.FindRecords(ctx, keeper.ListOptions{Prefix: j.prefix(), After: after})
+		page, err := j.config.FindRecords(ctx, keeper.ListOptions{Prefix: j.entryPrefix(), After: after})
 		if err != nil {
 			return fmt.Errorf("list old journal: %w", err)
 		}
@@ -250,7 +252,7 @@
 			if e.Opens {
 				continue
 			}
-			if err := j.deleteEntry(ctx, ref{e.Seq, record.Revision, false}); err != nil {
+			if err := j.deleteEntry(ctx, entryRef{e.Seq, record.Revision, false}); err != nil {
 				return err
 			}
 		}
