--- a/internal/control/controller/bench_test.go
+++ b/internal/control/controller/bench_test.go
@@ -15,26 +15,26 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// BenchmarkOwnerDeath measures the time from the sudden end of the owner to the
-// first start by its successor, in lengths of the owner's lease.
-func BenchmarkOwnerDeath(b *testing.B) {
+// BenchmarkOwnerFailover measures the time from the sudden end of the owner to the first
+// start by its successor, also as a multiple of the owner's lease.
+func BenchmarkOwnerFailover(b *testing.B) {
 	for b.Loop() {
 		c := newCell(b, 3, 2)
 		c.submit(labels(400)...)
-		c.eventually("some completed", func() bool { return c.counts()[messenger.TaskCompleted] > 20 })
-		dead := time.Now()
+		c.waitFor("some completed", func() bool { return c.counts()[messenger.TaskCompleted] > 20 })
+		killed := time.Now()
 		for i, ctrl := range c.controllers {
 			if ctrl.current.Load() != nil {
 				c.stops[i]()
 			}
 		}
 		var first time.Duration
-		c.eventually("a start by the successor", func() bool {
-			var story messenger.EventsReply
-			_ = c.call(c.ctx, messenger.MethodEvents, messenger.EventsRequest{Cell: "c1", Limit: 5000}, &story)
-			for _, d := range story.Decisions {
+		c.waitFor("a start by the successor", func() bool {
+			var reply messenger.EventsReply
+			_ = c.call(c.ctx, messenger.MethodEvents, messenger.EventsRequest{Cell: "c1", Limit: 5000}, &reply)
+			for _, d := range reply.Decisions {
 				if d.Epoch == 2 && d.Code == 504 {
-					first = d.Time.Sub(dead)
+					first = d.Time.Sub(killed)
 					return true
 				}
 			}
@@ -45,19 +45,19 @@
 	}
 }
 
-// BenchmarkStoreCalls counts the store's calls for each task started, with and
-// without group commit, at a store that answers in 5 ms.
+// BenchmarkStoreCalls counts the store calls per started task, with and without group
+// commit, at a store that replies within 5 ms.
 func BenchmarkStoreCalls(b *testing.B) {
 	const tasks = 600
 	for _, limit := range []int{0, 1} {
 		b.Run(fmt.Sprintf("group-limit=%d", limit), func(b *testing.B) {
 			for b.Loop() {
 				c := newCellWith(b, 6, 1, func(config *Config) { config.GroupLimit = limit })
-				c.eventually("owner", func() bool { return len(c.status().VMs) == 6 })
+				c.waitFor("owner", func() bool { return len(c.status().VMs) == 6 })
 				c.store.SetFaults(storer.Faults{DelayMillis: 5})
 				before, began := c.store.Calls().Calls, time.Now()
 				c.submit(labels(tasks)...)
-				c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == tasks })
+				c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == tasks })
 				took := time.Since(began)
 				total := int64(0)
 				for kind, n := range c.store.Calls().Calls {
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkRecovery measures how long a new owner takes to rebuild its state
-// from journals of different lengths, with and without snapshots.
+// BenchmarkRecovery measures how long a new owner takes to rebuild its state from journals
+// of different lengths, with and without snapshots.
 func BenchmarkRecovery(b *testing.B) {
 	for _, length := range []int{100, 1000, 5000} {
 		for _, every := range []int{0, 500} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// writeJournal journals the lives of tasks, ten records to an entry.
+// writeJournal journals the records of complete tasks, two tasks to an entry.
 func writeJournal(b *testing.B, k *keeper.Keeper, length, every int) {
 	b.Helper()
 	ids := idSource("writer")
@@ -105,7 +105,7 @@
 	books := bookkeeper.New()
 	for n := range length {
 		var records []json.RawMessage
-		for _, r := range lives(n) {
+		for _, r := range taskRecords(n) {
 			raw, err := json.Marshal(r)
 			if err == nil {
 				err = books.Apply(r)
@@ -130,8 +130,8 @@
 	}
 }
 
-// lives returns the records of two tasks from submission to completion.
-func lives(n int) []bookkeeper.Record {
+// taskRecords returns the records of two tasks from submission to completion.
+func taskRecords(n int) []bookkeeper.Record {
 	at := time.Date(2026, 12, 3, 0, 0, n, 0, time.UTC)
 	var records []bookkeeper.Record
 	if n == 0 {
@@ -150,13 +150,13 @@
 	return records
 }
 
-// BenchmarkStoreOutage takes the store away for 6 s, a tenth of a minute, under
-// three policies for leases in an outage, each a tenth of its length too: the
-// longer lease of 18 s; the short lease also in the outage, so that tasks stop;
-// and a lease without end, so that nothing restarts. One VM is lost for good
-// during the outage. Reported are the work lost at VMs that live, in task
-// seconds, and the time from the store's return until the lost VM's tasks run
-// again (60 s: not while measured).
+// BenchmarkStoreOutage stops the store for 6 s instead of a minute, under three lease
+// policies for an outage, whose leases are a tenth of their real length as well: the longer
+// lease of 18 s; the short lease also in the outage, with which tasks stop; and an
+// unlimited lease, with which nothing restarts. One VM is lost permanently during the
+// outage. The benchmark reports the work lost on the other VMs, in task seconds, and the
+// time from the end of the outage until the lost VM's tasks run again (60 s: not within the
+// measured time).
 func BenchmarkStoreOutage(b *testing.B) {
 	policies := []struct {
 		name  string
@@ -181,21 +181,21 @@
 		specs[i].RunTimeMillis = 300000
 	}
 	c.submit(specs...)
-	c.eventually("all run", func() bool { return c.counts()[messenger.TaskRunning] == len(specs) })
+	c.waitFor("all run", func() bool { return c.counts()[messenger.TaskRunning] == len(specs) })
 	time.Sleep(2 * time.Second)
 	c.store.SetFaults(storer.Faults{Down: true})
 	time.Sleep(2 * time.Second)
-	c.cutAgents[0].Store(true)
-	held := 0
+	c.disconnected[0].Store(true)
+	startsOnLostVM := 0
 	for _, e := range c.workers[0].Events() {
 		if e.Event == worker.EventStart {
-			held++
+			startsOnLostVM++
 		}
 	}
 	time.Sleep(4 * time.Second)
 	c.store.SetFaults(storer.Faults{})
-	back := time.Now()
-	for recovered = notRecovered; time.Since(back) < 25*time.Second; time.Sleep(20 * time.Millisecond) {
+	available := time.Now()
+	for recovered = notRecovered; time.Since(available) < 25*time.Second; time.Sleep(20 * time.Millisecond) {
 		restarted := 0
 		for _, w := range c.workers[1:] {
 			for _, e := range w.Events() {
@@ -204,8 +204,8 @@
 				}
 			}
 		}
-		if restarted >= held {
-			recovered = time.Since(back)
+		if restarted >= startsOnLostVM {
+			recovered = time.Since(available)
 			break
 		}
 	}
--- a/internal/control/controller/cell_test.go
+++ b/internal/control/controller/cell_test.go
@@ -28,18 +28,18 @@
 	vmLease    = 1500 * time.Millisecond
 )
 
-// cell is a cell in one process: the stand-ins of store and workers behind
-// their HTTP interfaces, the real clients, runners and controllers.
+// cell runs a cell in one process: test servers of the store and the workers, and the real
+// clients, runners and controllers, which call them over HTTP.
 type cell struct {
-	t           testing.TB
-	ctx         context.Context
-	store       *storer.Store
-	storeURL    string
-	fleet       atomic.Pointer[describer.Fleet]
-	workers     []*worker.Worker
-	controllers []*Controller
-	stops       []context.CancelFunc
-	cutAgents   []*atomic.Bool
+	t            testing.TB
+	ctx          context.Context
+	store        *storer.Store
+	storeURL     string
+	fleet        atomic.Pointer[describer.Fleet]
+	workers      []*worker.Worker
+	controllers  []*Controller
+	stops        []context.CancelFunc
+	disconnected []*atomic.Bool
 }
 
 func newCell(t testing.TB, vms, controllers int) *cell {
@@ -94,7 +94,7 @@
 	server := httptest.NewServer(w.Handler())
 	c.t.Cleanup(server.Close)
 	c.workers = append(c.workers, w)
-	run(func(ctx context.Context) error { // moves the tasks on, as the worker's own loop does
+	run(func(ctx context.Context) error { // the worker advances its tasks when it is called
 		d := driver.New(driver.Config{URL: server.URL})
 		for ctx.Err() == nil {
 			_, _ = d.FindTasks(ctx)
@@ -102,13 +102,13 @@
 		}
 		return nil
 	})
-	cut := &atomic.Bool{}
-	c.cutAgents = append(c.cutAgents, cut)
+	disconnected := &atomic.Bool{}
+	c.disconnected = append(c.disconnected, disconnected)
 	r := runner.New(runner.Config{
 		Cell: "c1", AgentID: fmt.Sprintf("a%d", i), Incarnation: 1, Driver: driver.New(driver.Config{URL: server.URL}),
 		CallOwner: func(ctx context.Context, method string, params, result any) error {
-			if cut.Load() {
-				return errors.New("cut")
+			if disconnected.Load() {
+				return errors.New("agent disconnected")
 			}
 			return c.call(ctx, method, params, result)
 		},
@@ -139,7 +139,7 @@
 
 func (c *cell) refresh(context.Context) (*describer.Fleet, error) { return c.fleet.Load(), nil }
 
-// call asks each controller until one owns the cell.
+// call sends a call to each controller until it reaches the owner of the cell.
 func (c *cell) call(ctx context.Context, method string, params, result any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
@@ -159,8 +159,8 @@
 	return err
 }
 
-// eventually waits until f is true.
-func (c *cell) eventually(what string, f func() bool) {
+// waitFor waits until f returns true, and fails the test after testLimit.
+func (c *cell) waitFor(what string, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(testLimit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if f() {
@@ -169,18 +169,18 @@
 	}
 	var s messenger.Status
 	err := c.call(c.ctx, messenger.MethodStatus, messenger.StatusRequest{Cell: "c1"}, &s)
-	var story messenger.EventsReply
-	_ = c.call(c.ctx, messenger.MethodEvents, messenger.EventsRequest{Cell: "c1"}, &story)
-	for _, d := range story.Decisions[max(0, len(story.Decisions)-40):] {
+	var events messenger.EventsReply
+	_ = c.call(c.ctx, messenger.MethodEvents, messenger.EventsRequest{Cell: "c1"}, &events)
+	for _, d := range events.Decisions[max(0, len(events.Decisions)-40):] {
 		c.t.Logf("%d %s %d %s %s %s %v", d.Number, d.Time.Format("05.000"), d.Code, d.Task, d.VM, d.Reason, d.Inputs)
 	}
-	c.t.Fatalf("did not happen in time: %s; status %+v, %v", what, s, err)
+	c.t.Fatalf("%s: not reached within %s; status %+v, %v", what, testLimit, s, err)
 }
 
 func (c *cell) submit(specs ...messenger.TaskSpec) []messenger.SubmitVerdict {
 	c.t.Helper()
 	var reply messenger.SubmitReply
-	c.eventually("submission", func() bool {
+	c.waitFor("submission", func() bool {
 		return c.call(c.ctx, messenger.MethodSubmit, messenger.SubmitRequest{Cell: "c1", Tasks: specs}, &reply) == nil
 	})
 	return reply.Verdicts
@@ -201,9 +201,9 @@
 	return s.Tasks
 }
 
-// checkWitness fails if the workers saw a task twice at once, completed twice,
-// or a VM beyond its size.
-func (c *cell) checkWitness() {
+// checkWorkerEvents fails the test if, by the events of the workers, a task ran twice at the
+// same time, completed twice, or overcommitted a VM.
+func (c *cell) checkWorkerEvents() {
 	c.t.Helper()
 	var all []worker.Event
 	for _, w := range c.workers {
@@ -217,12 +217,12 @@
 			running[e.Task] = make(map[string]bool)
 		}
 		if e.OverCommitted {
-			c.t.Errorf("%s is over-committed by %s", e.VM, e.Task)
+			c.t.Errorf("%s is overcommitted by %s", e.VM, e.Task)
 		}
 		switch e.Event {
 		case worker.EventStart:
 			if len(running[e.Task]) > 0 {
-				c.t.Errorf("%s started as %s while it runs as %v", e.Task, at, running[e.Task])
+				c.t.Errorf("%s started as %s while it is running as %v", e.Task, at, running[e.Task])
 			}
 			running[e.Task][at] = true
 		default:
--- a/internal/control/controller/claim.go
+++ b/internal/control/controller/claim.go
@@ -9,35 +9,38 @@
 
 // Limits of claims.
 const (
-	claimsKept     = 24 * time.Hour
-	claimsSwept    = 10 * time.Minute
-	maxClaims      = 100000
-	maxAnswerBytes = 16 << 10
-	// freedKept is how long at least it is known that a request has ended without running.
-	// No claim is on its way for as long: its asker gives each try up within a second.
-	freedKept = time.Minute
+	claimRetention     = 24 * time.Hour
+	claimSweepInterval = 10 * time.Minute
+	maxClaims          = 100000
+	maxKeptBodyBytes   = 16 << 10
+	// notRunRetention is the minimum time for which a request that ended without running is
+	// remembered. No claim is in transit for that long: its sender abandons each try within
+	// a second.
+	notRunRetention = time.Minute
 )
 
-// freed remembers the requests that were settled as not run, in two generations. A claim
-// may be overtaken by the settlement that gives it up; granted after it, the claim would
-// be held by nobody.
-type freed struct {
+// notRunRequests holds the requests that were reported as not run, in two generations. A
+// claim may arrive after the report that its request was abandoned. If it were granted
+// then, no client would hold it, and later requests with its key would be refused.
+type notRunRequests struct {
 	current, previous map[string]bool // by request id
-	turned            time.Time
+	rotatedAt         time.Time
 }
 
-func (f *freed) add(requestID string, now time.Time) {
-	if f.current == nil || now.Sub(f.turned) > freedKept {
-		f.previous, f.current, f.turned = f.current, make(map[string]bool), now
+func (n *notRunRequests) add(requestID string, now time.Time) {
+	if n.current == nil || now.Sub(n.rotatedAt) > notRunRetention {
+		n.previous, n.current, n.rotatedAt = n.current, make(map[string]bool), now
 	}
-	f.current[requestID] = true
+	n.current[requestID] = true
 }
 
-func (f *freed) has(requestID string) bool { return f.current[requestID] || f.previous[requestID] }
+func (n *notRunRequests) has(requestID string) bool {
+	return n.current[requestID] || n.previous[requestID]
+}
 
-// takeClaim gives a keyed request to one asker and no other. The claim is
-// journalled before it is granted, so that a successor knows it.
-func (o *owner) takeClaim(call callEvent, r messenger.ClaimRequest) {
+// handleClaim grants a keyed request to a single claimant. The claim is journalled before
+// it is granted, so that a new owner recovers it.
+func (o *owner) handleClaim(call callEvent, r messenger.ClaimRequest) {
 	if c := o.books.Claim(r.Tenant, r.Key); c != nil {
 		reply := messenger.ClaimReply{State: c.State, Answer: c.Answer}
 		switch {
@@ -46,16 +49,16 @@
 		case c.State == messenger.ClaimGranted && c.RequestID != r.RequestID:
 			reply.State = messenger.ClaimHeld
 		}
-		// What is told must be journalled, and the state may be ahead of that.
+		// The state may include records that are not journalled yet.
 		o.onCommit(func() { call.succeed(reply) })
 		return
 	}
-	if o.freed.has(r.RequestID) {
-		call.fail(messenger.CodeBadRequest, "request %s has ended", r.RequestID)
+	if o.notRun.has(r.RequestID) {
+		call.fail(messenger.CodeBadRequest, "request %s has already ended without running", r.RequestID)
 		return
 	}
-	if o.slow() || o.books.CountClaims() >= maxClaims {
-		call.fail(messenger.CodeUnavailable, "cell %s takes no claims now", o.config.Cell)
+	if o.appendSlow() || o.books.CountClaims() >= maxClaims {
+		call.fail(messenger.CodeUnavailable, "cell %s accepts no claims now: the journal is slow, or it has reached the limit of %d claims", o.config.Cell, maxClaims)
 		return
 	}
 	claimed := bookkeeper.Claimed{Tenant: r.Tenant, Key: r.Key, Service: r.Service, Digest: r.Digest, RequestID: r.RequestID}
@@ -64,10 +67,10 @@
 	})
 }
 
-// takeSettle notes how a claimed request ended.
-func (o *owner) takeSettle(call callEvent, r messenger.SettleRequest) {
+// handleSettle journals how a claimed request ended.
+func (o *owner) handleSettle(call callEvent, r messenger.SettleRequest) {
 	if r.Outcome == messenger.OutcomeNotRun {
-		o.freed.add(r.RequestID, o.config.Now())
+		o.notRun.add(r.RequestID, o.config.Now())
 	}
 	c := o.books.Claim(r.Tenant, r.Key)
 	if c == nil || c.RequestID != r.RequestID || c.State == messenger.ClaimSettled {
@@ -75,19 +78,19 @@
 		return
 	}
 	closed := bookkeeper.ClaimClosed{Tenant: r.Tenant, Key: r.Key, RequestID: r.RequestID, Outcome: r.Outcome, Answer: r.Answer}
-	if r.Answer != nil && len(r.Answer.Body) > maxAnswerBytes {
+	if r.Answer != nil && len(r.Answer.Body) > maxKeptBodyBytes {
 		closed.Answer = &messenger.KeptAnswer{Status: r.Answer.Status, Header: r.Answer.Header}
 	}
 	o.decide(bookkeeper.Record{ClaimClosed: &closed}, 0, messenger.Decision{}, func() { call.succeed(messenger.Empty{}) })
 }
 
-// checkClaims forgets old claims now and then.
-func (o *owner) checkClaims(now time.Time) {
-	if now.Sub(o.swept) < claimsSwept {
+// expireClaims periodically removes old claims.
+func (o *owner) expireClaims(now time.Time) {
+	if now.Sub(o.claimsSweptAt) < claimSweepInterval {
 		return
 	}
-	o.swept = now
-	before := now.Add(-claimsKept).Round(0).UTC()
+	o.claimsSweptAt = now
+	before := now.Add(-claimRetention).Round(0).UTC()
 	if oldest := o.books.OldestClaim(); !oldest.IsZero() && oldest.Before(before) {
 		o.decide(bookkeeper.Record{ClaimsOld: &bookkeeper.ClaimsOld{Before: before}}, 0, messenger.Decision{}, nil)
 	}
--- a/internal/control/controller/commit.go
+++ b/internal/control/controller/commit.go
@@ -11,50 +11,51 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits. An append slower than slowAppend refuses new work, so that its
-// submitter learns at once that nothing was done.
+// Limits of appends and snapshots. While an append takes longer than
+// slowAppendThreshold new work is refused, so that its submitter learns at once that it
+// had no effect.
 const (
-	slowAppend = time.Second
-	// appendRest is the least time from the beginning of an append to the next.
-	// A store that answers in half a millisecond would else be sent an entry for
-	// nearly each decision, and its writes are counted; a lone decision still
-	// goes at once.
-	appendRest    = 10 * time.Millisecond
-	snapshotLimit = time.Minute
+	slowAppendThreshold = time.Second
+	// minAppendInterval is the minimum time between the starts of two appends. Otherwise
+	// a store that replies within half a millisecond would get an entry for nearly every
+	// decision, and the number of its writes matters. A single decision is still appended
+	// at once.
+	minAppendInterval = 10 * time.Millisecond
+	snapshotTimeout   = time.Minute
 )
 
-// group is what one journal entry carries.
-type group struct {
-	records  []json.RawMessage
-	tasks    []string
-	after    []func()
-	seq      int64
-	snapshot []byte // state as of this entry, if a snapshot is due
+// commitGroup is the content of one journal entry, with what to do once it is journalled.
+type commitGroup struct {
+	records   []json.RawMessage
+	tasks     []string
+	callbacks []func()
+	seq       int64
+	snapshot  []byte // encoded state as of this entry, if a snapshot is due
 }
 
-// commits gathers decisions while an append is in flight.
-type commits struct {
-	next         int64 // sequence number of the next append
-	waiting      group
-	bytes        int
+// commitQueue collects decisions while an append is in flight.
+type commitQueue struct {
+	nextSeq      int64 // sequence number of the next append
+	pending      commitGroup
+	pendingBytes int
 	appending    bool
-	resting      bool // the last append began less than appendRest ago
-	began        time.Time
-	settled      []func() // run when the append in flight is settled
+	rateLimited  bool // the last append began less than minAppendInterval ago
+	appendBegan  time.Time
+	afterAppend  []func() // callbacks to run when the append in flight has completed
 	snapshotting bool
-	open         map[string]int // records of a task that are not journalled yet
+	uncommitted  map[string]int // number of records that are not journalled yet, by task id
 }
 
-func (c *commits) idle() bool { return !c.appending && len(c.waiting.records) == 0 }
+func (c *commitQueue) idle() bool { return !c.appending && len(c.pending.records) == 0 }
 
-// slow tells that the journal does not take entries now.
-func (o *owner) slow() bool {
-	return o.commits.appending && o.config.Now().Sub(o.commits.began) > slowAppend
+// appendSlow reports whether the append in flight takes too long to accept new work.
+func (o *owner) appendSlow() bool {
+	return o.commits.appending && o.config.Now().Sub(o.commits.appendBegan) > slowAppendThreshold
 }
 
-// decide applies a record and hands it to the journal. After, if set, runs once
-// it is journalled; nothing that others act on may be sent before. If the
-// record is refused nothing changes.
+// decide applies a record to the books and queues it for the journal. The function after,
+// if not nil, runs once the record is journalled; nothing that others act on may be sent
+// before that. decide returns false and changes nothing if the books reject the record.
 func (o *owner) decide(r bookkeeper.Record, code reporter.Code, d messenger.Decision, after func()) bool {
 	r.At = o.config.Now().Round(0).UTC()
 	if code != 0 {
@@ -69,12 +70,12 @@
 		o.config.Reporter.Report(reporter.RecordRefused, reporter.Fields{"cell": o.config.Cell, "error": err.Error()})
 		return false
 	}
-	w := &o.commits.waiting
-	w.records = append(w.records, raw)
-	o.commits.bytes += len(raw)
-	w.tasks = append(w.tasks, d.Task)
-	w.after = append(w.after, after)
-	o.commits.open[d.Task]++
+	p := &o.commits.pending
+	p.records = append(p.records, raw)
+	o.commits.pendingBytes += len(raw)
+	p.tasks = append(p.tasks, d.Task)
+	p.callbacks = append(p.callbacks, after)
+	o.commits.uncommitted[d.Task]++
 	o.dirty = true
 	if code != 0 {
 		o.config.Reporter.Report(code, reporter.Fields{"cell": o.config.Cell, "task": d.Task, "vm": d.VM, "reason": d.Reason})
@@ -82,77 +83,78 @@
 	return true
 }
 
-// flush starts an append of all that waits, unless one is in flight or began
-// just now: whatever is decided meanwhile goes into the next, so that writes grow
-// with the time that passes and not with the number of decisions.
+// flush starts an append of all pending records, unless one is in flight or began less
+// than minAppendInterval ago. Later decisions go into the next append, so that the number
+// of writes depends on the elapsed time and not on the number of decisions.
 func (o *owner) flush(ctx context.Context) {
 	c := &o.commits
-	if c.appending || c.resting || len(c.waiting.records) == 0 {
+	if c.appending || c.rateLimited || len(c.pending.records) == 0 {
 		return
 	}
-	if o.config.GroupLimit != 1 { // a baseline without groups is not slowed down
-		c.resting = true
-		o.rest.Reset(appendRest)
+	if o.config.GroupLimit != 1 { // measurements without group commit are not limited
+		c.rateLimited = true
+		o.appendTimer.Reset(minAppendInterval)
 	}
-	g := o.commits.takeGroup(o.config.GroupLimit)
-	g.seq = o.commits.next
-	if len(o.commits.waiting.records) == 0 && !o.commits.snapshotting && o.journal.SnapshotDue() {
-		// The books hold exactly what the journal will after this entry.
+	g := o.commits.nextGroup(o.config.GroupLimit)
+	g.seq = o.commits.nextSeq
+	if len(o.commits.pending.records) == 0 && !o.commits.snapshotting && o.journal.SnapshotDue() {
+		// The books contain exactly the records that the journal will contain after this entry.
 		if state, err := o.books.Encode(); err == nil {
 			g.snapshot = state
 		}
 	}
-	o.commits.appending, o.commits.began = true, o.config.Now()
-	o.meters.group.Update(float64(len(g.records)))
-	o.meters.appends.Inc()
+	o.commits.appending, o.commits.appendBegan = true, o.config.Now()
+	o.metrics.group.Update(float64(len(g.records)))
+	o.metrics.appends.Inc()
 	go func() {
 		o.appended <- appendEvent{group: g, err: o.journal.Append(ctx, g.records)}
 	}()
 }
 
-// takeGroup takes as many waiting records as fit into one entry.
-func (c *commits) takeGroup(limit int) group {
+// nextGroup removes and returns as many pending records as fit into one entry.
+func (c *commitQueue) nextGroup(limit int) commitGroup {
 	n, size := 0, 0
-	for n < len(c.waiting.records) && (limit <= 0 || n < limit) {
-		size += len(c.waiting.records[n])
+	for n < len(c.pending.records) && (limit <= 0 || n < limit) {
+		size += len(c.pending.records[n])
 		if n > 0 && size > journaler.MaxEntryBytes {
-			size -= len(c.waiting.records[n])
+			size -= len(c.pending.records[n])
 			break
 		}
 		n++
 	}
-	w := &c.waiting
-	g := group{records: w.records[:n:n], tasks: w.tasks[:n:n], after: w.after[:n:n]}
-	w.records, w.tasks, w.after = w.records[n:], w.tasks[n:], w.after[n:]
-	c.bytes -= size
+	p := &c.pending
+	g := commitGroup{records: p.records[:n:n], tasks: p.tasks[:n:n], callbacks: p.callbacks[:n:n]}
+	p.records, p.tasks, p.callbacks = p.records[n:], p.tasks[n:], p.callbacks[n:]
+	c.pendingBytes -= size
 	return g
 }
 
-// settle acts on a journalled group, or ends the epoch.
-func (o *owner) settle(ctx context.Context, e appendEvent) error {
+// completeAppend runs the callbacks of a journalled group. It returns the error of a
+// failed append, which ends the epoch.
+func (o *owner) completeAppend(ctx context.Context, e appendEvent) error {
 	o.commits.appending = false
-	o.meters.append.Update(o.config.Now().Sub(o.commits.began).Seconds())
+	o.metrics.append.Update(o.config.Now().Sub(o.commits.appendBegan).Seconds())
 	if e.err != nil {
 		return e.err
 	}
-	o.commits.next = e.group.seq + 1
+	o.commits.nextSeq = e.group.seq + 1
 	for i, task := range e.group.tasks {
-		if o.commits.open[task]--; o.commits.open[task] <= 0 {
-			delete(o.commits.open, task)
+		if o.commits.uncommitted[task]--; o.commits.uncommitted[task] <= 0 {
+			delete(o.commits.uncommitted, task)
 		}
-		if after := e.group.after[i]; after != nil {
+		if after := e.group.callbacks[i]; after != nil {
 			after()
 		}
 	}
-	settled := o.commits.settled
-	o.commits.settled = nil
-	for _, after := range settled {
+	afterAppend := o.commits.afterAppend
+	o.commits.afterAppend = nil
+	for _, after := range afterAppend {
 		after()
 	}
 	if e.group.snapshot != nil {
 		o.commits.snapshotting = true
 		go func() {
-			limited, cancel := context.WithTimeout(ctx, snapshotLimit)
+			limited, cancel := context.WithTimeout(ctx, snapshotTimeout)
 			defer cancel()
 			o.snapshots <- snapshotEvent{o.journal.Snapshot(limited, e.group.seq, e.group.snapshot)}
 		}()
@@ -160,7 +162,8 @@
 	return nil
 }
 
-func (o *owner) takeSnapshot(e snapshotEvent) {
+// completeSnapshot reports the outcome of a snapshot.
+func (o *owner) completeSnapshot(e snapshotEvent) {
 	o.commits.snapshotting = false
 	if e.err != nil {
 		o.config.Reporter.Report(reporter.SnapshotFailed, reporter.Fields{"cell": o.config.Cell, "error": e.err.Error()})
--- a/internal/control/controller/commit_test.go
+++ b/internal/control/controller/commit_test.go
@@ -9,16 +9,16 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Keyed requests come one after the other, each waiting for its claim, and the
-// store answers in less than a millisecond. The owner must not spend a write on
-// each: the store's writes are counted, and tasks of other tenants need them.
-func TestAppendsAreBoundedByTime(t *testing.T) {
-	const askers, each = 8, 25
+// Guards against one store write per claim when keyed requests come one after the other,
+// each waiting for its claim, and the store replies in less than a millisecond: the number
+// of store writes matters, and tasks of other tenants need them.
+func TestAppendRateIsBounded(t *testing.T) {
+	const clients, each = 8, 25
 	c := newCell(t, 1, 1)
-	c.eventually("owner", func() bool { return len(c.status().VMs) == 1 })
+	c.waitFor("owner", func() bool { return len(c.status().VMs) == 1 })
 	before, began := c.store.Calls().Calls[keeper.KindSwap], time.Now()
-	done := make(chan error, askers)
-	for a := range askers {
+	done := make(chan error, clients)
+	for a := range clients {
 		go func() {
 			for i := range each {
 				r := messenger.ClaimRequest{Cell: "c1", Tenant: "caroni", Service: "s", Key: fmt.Sprintf("%d-%d", a, i), RequestID: "r"}
@@ -30,13 +30,13 @@
 			done <- nil
 		}()
 	}
-	for range askers {
+	for range clients {
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 	}
-	writes, limit := c.store.Calls().Calls[keeper.KindSwap]-before, int64(time.Since(began)/appendRest)+2
+	writes, limit := c.store.Calls().Calls[keeper.KindSwap]-before, int64(time.Since(began)/minAppendInterval)+2
 	if writes > limit || writes < each {
-		t.Errorf("%d writes for %d claims, want %d at most", writes, askers*each, limit)
+		t.Errorf("%d writes for %d claims, want %d at most", writes, clients*each, limit)
 	}
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller owns a cell: it competes for the ownership, recovers the
-// cell's state, takes reports and submissions, and decides. One goroutine holds
-// the state; what it decides is journalled before anybody acts on it.
+// Package controller runs a cell: it competes for the ownership of the cell, recovers
+// the cell's state, handles reports and submissions, and schedules tasks. One goroutine
+// owns the state. Its decisions are journalled before anything acts on them.
 package controller
 
 import (
@@ -23,12 +23,12 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths.
+// Leases and timeouts.
 const (
 	DefaultVMLease     = 6 * time.Second
 	DefaultOutageLease = 180 * time.Second
-	recoveryPause      = 200 * time.Millisecond
-	answerLimit        = 5 * time.Second // how long a call waits for the journal
+	reacquireDelay     = 200 * time.Millisecond // from the end of an epoch to the next try to own the cell
+	resultTimeout      = 5 * time.Second        // for a call, including its journal append
 )
 
 // Config holds the settings of a Controller.
@@ -37,14 +37,14 @@
 	EntryID    string
 	RPCAddress string
 	Keeper     *keeper.Keeper
-	// Refresh returns the fleet as it was in the store at some moment after the
-	// call began.
+	// Refresh reads the fleet from the store. The result was current at some moment
+	// after the call began.
 	Refresh func(ctx context.Context) (*describer.Fleet, error)
-	// Fleet returns the newest known fleet without a store call.
+	// Fleet returns the newest known fleet without calling the store.
 	Fleet  func() *describer.Fleet
 	Placer *placer.Placer
-	// Observe takes a usage report of a VM with what was placed in its window.
-	// May be nil.
+	// Observe receives a usage report of a VM together with the tasks that were placed on
+	// it in the reported time window. May be nil.
 	Observe      func(vm string, usage messenger.Usage, placed []Placement)
 	Interference func(service, class string) (slowdown, confidence float64) // may be nil
 	Pressure     func(vm, service string) float64                           // may be nil
@@ -55,25 +55,25 @@
 	OwnerLease   time.Duration // 0: elector.DefaultLease
 	VMLease      time.Duration // 0: DefaultVMLease
 	OutageLease  time.Duration // 0: that of the fleet's policy, else DefaultOutageLease
-	// GroupLimit bounds the records of one journal entry; 0: by size only. 1
-	// turns group commit off, for measurements.
+	// GroupLimit is the maximum number of records in one journal entry; 0: limited by
+	// size only. 1 turns group commit off, for measurements.
 	GroupLimit    int
 	SnapshotEvery int // journal entries between snapshots; 0: the journaler's default
-	// NewID returns an id that no other process ever returns.
+	// NewID returns an id that is unique among all processes.
 	NewID func() string
 }
 
-// Placement is what was on a VM in a window of time.
+// Placement is a task or replica that was placed on a VM for a period of time.
 type Placement struct {
 	TaskID  string
 	Class   string
 	Service string
 	Percent int // 0 or 100: not throttled
 	From    time.Time
-	To      time.Time // zero: still there
+	To      time.Time // zero: still placed
 }
 
-// Controller competes for a cell and owns it at times.
+// Controller competes for the ownership of a cell and runs the cell while it owns it.
 type Controller struct {
 	config  Config
 	elector *elector.Elector
@@ -105,7 +105,7 @@
 	return &Controller{config: c, elector: elector.New(elector.FromKeeper(e, c.Keeper))}
 }
 
-// Run competes for the cell and owns it whenever it wins, until ctx ends.
+// Run competes for the cell, and runs it for as long as it owns it, until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if c.drained.Load() {
@@ -115,32 +115,34 @@
 		if err := c.elector.Acquire(ctx); err != nil {
 			continue
 		}
-		if err := c.own(ctx); err != nil && ctx.Err() == nil && !c.drained.Load() {
+		if err := c.runEpoch(ctx); err != nil && ctx.Err() == nil && !c.drained.Load() {
 			c.config.Reporter.Report(reporter.OwnershipLost, reporter.Fields{"cell": c.config.Cell, "error": err.Error()})
 		}
-		_ = pauser.Pause(ctx, recoveryPause)
+		_ = pauser.Pause(ctx, reacquireDelay)
 	}
 	return nil
 }
 
-// own runs one epoch.
-func (c *Controller) own(parent context.Context) error {
+// runEpoch runs the cell for one epoch while it renews the ownership lease.
+func (c *Controller) runEpoch(parent context.Context) error {
 	tookOver := c.config.Now()
 	ctx, cancel := context.WithCancel(parent)
-	kept := make(chan error, 1)
+	renewal := make(chan error, 1)
 	go func() {
-		kept <- c.elector.Keep(ctx)
+		renewal <- c.elector.Keep(ctx)
 		cancel()
 	}()
-	err := c.ownUntil(ctx, tookOver)
+	err := c.recoverAndRun(ctx, tookOver)
 	cancel()
-	if keepErr := <-kept; err == nil || ctx.Err() != nil && keeper.IsErrLeaseNotExist(keepErr) {
-		err = keepErr
+	if renewErr := <-renewal; err == nil || ctx.Err() != nil && keeper.IsErrLeaseNotExist(renewErr) {
+		err = renewErr
 	}
 	return err
 }
 
-func (c *Controller) ownUntil(ctx context.Context, tookOver time.Time) error {
+// recoverAndRun recovers the cell's state, publishes this process as the owner and runs
+// the cell.
+func (c *Controller) recoverAndRun(ctx context.Context, tookOver time.Time) error {
 	j := journaler.New(journaler.FromKeeper(journaler.Config{
 		Cell: c.config.Cell, EntryID: c.config.EntryID, NewID: c.config.NewID,
 		SnapshotEvery: c.config.SnapshotEvery, DeletePause: deletePause,
@@ -159,11 +161,11 @@
 	return o.run(ctx)
 }
 
-// Owner returns the owner of the cell as far as this process knows.
+// Owner returns the last known owner of the cell.
 func (c *Controller) Owner() (messenger.CellOwner, bool) { return c.elector.Known() }
 
-// Drain hands the ownership over: what is decided is journalled, then the lease
-// is released, so that another process need not wait for it to run out.
+// Drain gives up the ownership: it waits until all decisions are journalled and then
+// releases the lease, so that another process need not wait for the lease to expire.
 func (c *Controller) Drain(ctx context.Context) error {
 	c.drained.Store(true)
 	o := c.current.Load()
@@ -185,8 +187,8 @@
 	return c.elector.Release(ctx)
 }
 
-// Handle answers a call about the cell. An error tells by its code whether
-// anything was done.
+// Handle handles an RPC call for the cell. The code of an error says whether the call
+// had any effect.
 func (c *Controller) Handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	request, err := decode(method, params)
 	if err != nil {
@@ -196,30 +198,30 @@
 	if o == nil {
 		return nil, c.notOwner()
 	}
-	call := callEvent{request: request, received: c.config.Now(), answer: make(chan answer, 1)}
+	call := callEvent{request: request, received: c.config.Now(), result: make(chan callResult, 1)}
 	select {
 	case o.calls <- call:
 	case <-o.done:
 		return nil, c.notOwner()
 	case <-ctx.Done():
-		return nil, connector.Errorf(messenger.CodeUnavailable, "cell %s: caller gone", c.config.Cell)
+		return nil, connector.Errorf(messenger.CodeUnavailable, "cell %s: the call was cancelled before it was accepted", c.config.Cell)
 	}
-	limit := time.NewTimer(answerLimit)
+	limit := time.NewTimer(resultTimeout)
 	defer limit.Stop()
 	select {
-	case a := <-call.answer:
-		return a.result, a.err
+	case r := <-call.result:
+		return r.value, r.err
 	case <-o.done:
-		select { // the last act of the owner may have been this answer
-		case a := <-call.answer:
-			return a.result, a.err
+		select { // the owner may have sent this result just before it stopped
+		case r := <-call.result:
+			return r.value, r.err
 		default:
 		}
-		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s changed hands: ask again with the same id", c.config.Cell)
+		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: ownership ended during the call: repeat it with the same id", c.config.Cell)
 	case <-limit.C:
-		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: the store did not answer in time: ask again with the same id", c.config.Cell)
+		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: no result within %s: repeat the call with the same id", c.config.Cell, resultTimeout)
 	case <-ctx.Done():
-		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: caller gone", c.config.Cell)
+		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: the call was cancelled before its result was known", c.config.Cell)
 	}
 }
 
@@ -248,10 +250,11 @@
 	case messenger.MethodEvents:
 		return connector.Decode[messenger.EventsRequest](params)
 	}
-	return nil, connector.Errorf(messenger.CodeBadRequest, "method %s is not known", method)
+	return nil, connector.Errorf(messenger.CodeBadRequest, "unknown method %q", method)
 }
 
-// idSource returns ids that start with the process and its start time.
+// idSource returns a function that generates ids from the entry id, the start time of
+// the process and a counter.
 func idSource(entryID string) func() string {
 	start := time.Now().UnixNano()
 	var n atomic.Int64
--- a/internal/control/controller/controller_test.go
+++ b/internal/control/controller/controller_test.go
@@ -26,8 +26,8 @@
 	return specs
 }
 
-// TestTasksCompleteOnce submits more tasks than fit at once, twice over with
-// the same ids: each must run and complete once.
+// TestTasksCompleteOnce submits more tasks than fit at once, twice with the same ids: each
+// must run and complete once.
 func TestTasksCompleteOnce(t *testing.T) {
 	set := metrics.NewSet()
 	c := newCellWith(t, 3, 1, func(config *Config) { config.Metrics = set })
@@ -38,49 +38,49 @@
 			}
 		}
 	}
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 40 })
-	c.checkWitness()
-	var page strings.Builder
-	set.WritePrometheus(&page)
-	if want := `bamboospread_task_turnaround_seconds_count{cell="c1",tenant="caroni",class="labels"} 40`; !strings.Contains(page.String(), want) {
-		t.Errorf("the metrics lack %s", want)
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 40 })
+	c.checkWorkerEvents()
+	var output strings.Builder
+	set.WritePrometheus(&output)
+	if want := `bamboospread_task_turnaround_seconds_count{cell="c1",tenant="caroni",class="labels"} 40`; !strings.Contains(output.String(), want) {
+		t.Errorf("metrics without %s", want)
 	}
 }
 
-// TestOwnerDiesAndTasksGoOn kills the owner while tasks run: the successor
-// recovers the state, adopts what the agents report and starts the rest.
-func TestOwnerDiesAndTasksGoOn(t *testing.T) {
+// TestTasksContinueAfterOwnerFailover kills the owner while tasks run: the successor must
+// recover the state, adopt the attempts that the agents report and start the other tasks.
+func TestTasksContinueAfterOwnerFailover(t *testing.T) {
 	c := newCell(t, 3, 2)
 	c.submit(labels(60)...)
-	c.eventually("some completed", func() bool { return c.counts()[messenger.TaskCompleted] > 5 })
+	c.waitFor("some completed", func() bool { return c.counts()[messenger.TaskCompleted] > 5 })
 	for i, ctrl := range c.controllers {
 		if ctrl.current.Load() != nil {
 			c.stops[i]()
 		}
 	}
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 60 })
-	c.checkWitness()
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 60 })
+	c.checkWorkerEvents()
 }
 
-// TestLostVMCostsTheShortLease cuts an agent off: its tasks run elsewhere only
-// after its lease has run out at the worker.
-func TestLostVMCostsTheShortLease(t *testing.T) {
+// TestTasksOfLostVMRestartAfterLease disconnects an agent: its tasks may run elsewhere only
+// after the lease at the worker has expired.
+func TestTasksOfLostVMRestartAfterLease(t *testing.T) {
 	c := newCell(t, 2, 1)
 	specs := labels(6)
 	for i := range specs {
 		specs[i].RunTimeMillis = 3000
 	}
 	c.submit(specs...)
-	c.eventually("running", func() bool { return c.counts()[messenger.TaskRunning] == 6 })
-	c.cutAgents[0].Store(true)
-	cut := time.Now()
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 6 })
-	t.Logf("completed %v after the cut", time.Since(cut))
-	c.checkWitness()
+	c.waitFor("running", func() bool { return c.counts()[messenger.TaskRunning] == 6 })
+	c.disconnected[0].Store(true)
+	disconnected := time.Now()
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 6 })
+	t.Logf("completed %v after the agent was disconnected", time.Since(disconnected))
+	c.checkWorkerEvents()
 }
 
-// TestZoneOutMovesTasks takes a zone out: its tasks are checkpointed and resume
-// in the other zone from where they were.
+// TestZoneOutMovesTasks takes a zone out: its tasks must be checkpointed and resume from
+// the checkpoint in the other zone.
 func TestZoneOutMovesTasks(t *testing.T) {
 	c := newCell(t, 4, 1)
 	specs := labels(6)
@@ -88,28 +88,28 @@
 		specs[i].RunTimeMillis = 2000
 	}
 	c.submit(specs...)
-	c.eventually("running", func() bool { return c.counts()[messenger.TaskRunning] == 6 })
+	c.waitFor("running", func() bool { return c.counts()[messenger.TaskRunning] == 6 })
 	time.Sleep(500 * time.Millisecond)
 	c.setFleet(2, "z1")
 	out := time.Now()
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 6 })
-	c.checkWitness()
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 6 })
+	c.checkWorkerEvents()
 	for _, w := range c.workers {
 		for _, e := range w.Events() {
-			if e.Zone == "z1" && e.Event == worker.EventStart && e.Time.After(out.Add(contactAge+voidAfter)) {
+			if e.Zone == "z1" && e.Event == worker.EventStart && e.Time.After(out.Add(maxContactAge+startValidity)) {
 				t.Errorf("%s started in z1 at %v after it was taken out", e.Task, e.Time.Sub(out))
 			}
 			if e.Event == worker.EventStart && e.Attempt > 1 && e.ProgressMillis == 0 {
-				t.Errorf("%s started anew instead of resuming", e.Task)
+				t.Errorf("%s started from the beginning instead of resuming", e.Task)
 			}
 		}
 	}
 }
 
-// TestVerdicts submits tasks that can't run, and one that fails always.
-func TestVerdicts(t *testing.T) {
+// TestSubmitDecisions submits tasks that can't run, and one that always fails.
+func TestSubmitDecisions(t *testing.T) {
 	c := newCell(t, 4, 1)
-	c.eventually("VMs known", func() bool { return c.counts() != nil && len(c.status().VMs) == 4 })
+	c.waitFor("VMs known", func() bool { return c.counts() != nil && len(c.status().VMs) == 4 })
 	cases := []struct {
 		name     string
 		spec     messenger.TaskSpec
@@ -121,7 +121,7 @@
 		{"too big for any VM", messenger.TaskSpec{ID: "c", Tenant: "caroni", Class: "labels", Needs: describer.Resources{Millicores: 9000}}, true, messenger.TaskHeld},
 		{"beyond quota", messenger.TaskSpec{ID: "d", Tenant: "caroni", Class: "labels", Needs: describer.Resources{Millicores: 200000}}, true, messenger.TaskHeld},
 		{"ordinary", messenger.TaskSpec{ID: "e", Tenant: "caroni", Class: "labels"}, true, messenger.TaskQueued},
-		{"fails always", messenger.TaskSpec{ID: "f", Tenant: "caroni", Class: "labels", Payload: `{"run-ms":20,"fail":true}`}, true, messenger.TaskQueued},
+		{"always fails", messenger.TaskSpec{ID: "f", Tenant: "caroni", Class: "labels", Payload: `{"run-ms":20,"fail":true}`}, true, messenger.TaskQueued},
 		{"same id, other task", messenger.TaskSpec{ID: "e", Tenant: "caroni", Class: "labels", Payload: "x"}, false, ""},
 	}
 	for _, tc := range cases {
@@ -130,7 +130,7 @@
 			t.Errorf("%s: got %+v", tc.name, v)
 		}
 	}
-	c.eventually("held after its attempts", func() bool { return c.task("f").State == messenger.TaskHeld })
+	c.waitFor("held after all its attempts failed", func() bool { return c.task("f").State == messenger.TaskHeld })
 	if f := c.task("f"); f.Failures != 3 {
 		t.Errorf("got %+v, want 3 failures", f)
 	}
@@ -146,40 +146,40 @@
 	return s
 }
 
-// TestFailingWorkerIsQuarantined lets one worker fail everything: it must not
-// use up the attempts of a wave of tasks.
+// TestFailingWorkerIsQuarantined makes one worker fail every task: it must not use up the
+// attempts of many tasks.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	c := newCell(t, 3, 1)
 	c.workers[0].SetFaults(worker.Faults{FailAll: true})
 	c.submit(labels(40)...)
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 40 })
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == 40 })
 	if q := c.status().VMs[0].Quarantined; q == "" {
 		t.Error("the failing worker is not in quarantine")
 	}
-	c.checkWitness()
+	c.checkWorkerEvents()
 }
 
-// TestCancelWave cancels thousands of tasks at once, some of them running.
-func TestCancelWave(t *testing.T) {
+// TestCancelManyTasks cancels thousands of tasks at once, some of them running.
+func TestCancelManyTasks(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(labels(2000)...)
-	c.eventually("some run", func() bool { return c.counts()[messenger.TaskRunning] > 0 })
+	c.waitFor("some run", func() bool { return c.counts()[messenger.TaskRunning] > 0 })
 	var reply messenger.CancelReply
 	if err := c.call(c.ctx, messenger.MethodCancel, messenger.CancelRequest{Cell: "c1", Class: "labels"}, &reply); err != nil {
 		t.Fatal(err)
 	}
-	c.eventually("none left", func() bool {
+	c.waitFor("none left", func() bool {
 		n := c.counts()
 		return n[messenger.TaskCompleted]+n[messenger.TaskCancelled] == 2000
 	})
-	c.checkWitness()
+	c.checkWorkerEvents()
 }
 
-// TestClaims claims a key twice, also over a change of owner.
+// TestClaims claims a key repeatedly, also after a change of owner.
 func TestClaims(t *testing.T) {
 	c := newCell(t, 1, 2)
 	claim := func(request, digest string) (reply messenger.ClaimReply) {
-		c.eventually("claim", func() bool {
+		c.waitFor("claim", func() bool {
 			return c.call(c.ctx, messenger.MethodClaim, messenger.ClaimRequest{
 				Cell: "c1", Tenant: "caroni", Service: "print", Key: "k", Digest: digest, RequestID: request,
 			}, &reply) == nil
--- a/internal/control/controller/lost_test.go
+++ b/internal/control/controller/lost_test.go
@@ -10,14 +10,14 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// TestHeldWhenLost cuts the agent of one of two VMs while prints run there, of
-// which some end before the lease does and some would go on past it. The owner
-// hears nothing and gives the attempts up. It can't know which prints are done,
-// so the tenant sees them held; when the VM is back, what completed is taken as
-// completed and runs no second time, and the rest resumes.
-func TestHeldWhenLost(t *testing.T) {
+// TestLostTaskIsHeld disconnects the agent of one of two VMs while print tasks run there.
+// Some complete before the lease expires, others would take longer. The owner gets no
+// reports and gives up the attempts. It can't know which tasks have completed, so it holds
+// them. When the VM is back, the completed tasks must be accepted as completed and not run
+// again, and the others must resume.
+func TestLostTaskIsHeld(t *testing.T) {
 	c := newCell(t, 2, 1)
-	c.eventually("VMs known", func() bool { return len(c.status().VMs) == 2 })
+	c.waitFor("VMs known", func() bool { return len(c.status().VMs) == 2 })
 	var ids []string
 	for i := range 6 {
 		run := int64(700)
@@ -27,9 +27,9 @@
 		ids = append(ids, fmt.Sprintf("print-%d", i))
 		c.submit(messenger.TaskSpec{ID: ids[i], Tenant: "caroni", Class: "prints", RunTimeMillis: run})
 	}
-	c.eventually("running", func() bool { return c.counts()[messenger.TaskRunning] == len(ids) })
-	c.cutAgents[0].Store(true)
-	c.eventually("given up", func() bool {
+	c.waitFor("running", func() bool { return c.counts()[messenger.TaskRunning] == len(ids) })
+	c.disconnected[0].Store(true)
+	c.waitFor("given up", func() bool {
 		for _, id := range ids {
 			if c.task(id).VM == "vm0" {
 				return false
@@ -37,13 +37,13 @@
 		}
 		return true
 	})
-	time.Sleep(vmLease) // in which they would run elsewhere
+	time.Sleep(vmLease) // long enough for them to be restarted elsewhere
 	if held := c.counts()[messenger.TaskHeld]; held == 0 {
 		t.Error("no task is held")
 	}
-	c.cutAgents[0].Store(false)
-	c.eventually("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == len(ids) })
-	c.checkWitness()
+	c.disconnected[0].Store(false)
+	c.waitFor("all completed", func() bool { return c.counts()[messenger.TaskCompleted] == len(ids) })
+	c.checkWorkerEvents()
 	for _, id := range ids {
 		completions := 0
 		for _, w := range c.workers {
@@ -59,15 +59,15 @@
 	}
 }
 
-// TestSubmitRightAfterApply submits a task whose tenant was added by a change that
-// the store has and the owner has not heard of. The submitter saw the change
-// accepted; a refusal, which is final, would be wrong. A tenant that the store does
-// not have either is refused.
+// TestSubmitRightAfterApply submits a task whose tenant was added by a change that is in the
+// store but has not reached the owner. The submitter saw the change accepted, so a
+// rejection, which is final, would be wrong. A tenant that is not in the store either is
+// rejected.
 func TestSubmitRightAfterApply(t *testing.T) {
 	older := describer.New(describer.Config{Name: "test", Version: 1, Zones: []describer.Zone{{Name: "z0", State: describer.ZoneIn}}})
 	c := newCellWith(t, 1, 1, func(config *Config) { config.Fleet = func() *describer.Fleet { return older } })
 	if v := c.submit(messenger.TaskSpec{ID: "a", Tenant: "nobody", Class: "labels"})[0]; v.Accepted {
-		t.Error("a tenant that is nowhere was accepted")
+		t.Error("a task of a tenant that is not in the store was accepted")
 	}
 	c.setFleet(2, "")
 	if v := c.submit(messenger.TaskSpec{ID: "b", Tenant: "caroni", Class: "labels"})[0]; !v.Accepted {
--- a/internal/control/controller/meters.go
+++ b/internal/control/controller/metrics.go
@@ -9,8 +9,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// meters are the metrics of a cell.
-type meters struct {
+// cellMetrics holds the metrics of a cell.
+type cellMetrics struct {
 	set       *metrics.Set
 	cell      string
 	submitted *metrics.Counter
@@ -23,9 +23,9 @@
 	round     *metrics.Histogram
 }
 
-func newMeters(set *metrics.Set, cell string) meters {
+func newCellMetrics(set *metrics.Set, cell string) cellMetrics {
 	name := func(metric string) string { return fmt.Sprintf("bamboospread_cell_%s{cell=%q}", metric, cell) }
-	return meters{
+	return cellMetrics{
 		set: set, cell: cell,
 		submitted: set.GetOrCreateCounter(name("tasks_submitted_total")),
 		starts:    set.GetOrCreateCounter(name("starts_total")),
@@ -38,13 +38,18 @@
 	}
 }
 
-// waited notes how long a batch task waited for its first start, and turned
-// round how long it took from its submission to its completion. Tenants and
-// classes are bounded by the fleet text, so the labels are too.
-func (m meters) waited(s messenger.TaskSpec, d time.Duration)      { m.task("start_wait", s, d) }
-func (m meters) turnedRound(s messenger.TaskSpec, d time.Duration) { m.task("turnaround", s, d) }
+// observeStartWait records how long a batch task waited for its first start, and
+// observeTurnaround how long it took from submission to completion. The fleet text limits
+// the number of tenants and classes, and with them the number of label values.
+func (m cellMetrics) observeStartWait(s messenger.TaskSpec, d time.Duration) {
+	m.observeTask("start_wait", s, d)
+}
+
+func (m cellMetrics) observeTurnaround(s messenger.TaskSpec, d time.Duration) {
+	m.observeTask("turnaround", s, d)
+}
 
-func (m meters) task(metric string, s messenger.TaskSpec, d time.Duration) {
+func (m cellMetrics) observeTask(metric string, s messenger.TaskSpec, d time.Duration) {
 	if s.Service != "" {
 		return
 	}
@@ -52,6 +57,7 @@
 	m.set.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
-func (m meters) ended(next messenger.TaskState) {
+// countEnded counts an ended attempt by the next state of its task.
+func (m cellMetrics) countEnded(next messenger.TaskState) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("bamboospread_cell_attempts_ended_total{cell=%q,next=%q}", m.cell, next)).Inc()
 }
--- a/internal/control/controller/order.go
+++ b/internal/control/controller/order.go
@@ -10,47 +10,48 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths that bound the last start in a zone that was taken out.
+// Timing of starts and orders. maxContactAge and startValidity limit how late a task can
+// start in a zone that was taken out.
 const (
-	contactAge   = 800 * time.Millisecond
-	contactPause = 250 * time.Millisecond
-	contactLimit = 2 * time.Second
-	voidAfter    = 2000 * time.Millisecond
-	resendAfter  = 700 * time.Millisecond
-	confirmLimit = 15 * time.Second // a start that is neither confirmed nor refused by then is withdrawn
+	maxContactAge   = 800 * time.Millisecond
+	contactInterval = 250 * time.Millisecond
+	contactTimeout  = 2 * time.Second
+	startValidity   = 2000 * time.Millisecond
+	resendInterval  = 700 * time.Millisecond
+	confirmTimeout  = 15 * time.Second // a start that is neither confirmed nor refused by then is withdrawn
 )
 
-// freshAt tells whether the last store contact is recent enough to hand out
-// starts in reply to a poll that was received before now.
+// contactFresh reports whether the last store contact is recent enough to order starts in
+// reply to a poll that was received before now.
 //
-// A paused owner or agent must not start a task in a zone long taken out. The
-// poll was received before this check, so the agent sent it before the check.
-// The contact began at most contactAge before the check, and the fleet it gave
-// was in force at some moment after it began: a change accepted before that is
-// obeyed. The agent refuses the start later than voidAfter after it sent the
-// poll. So a start that does not obey a change happens at most
-// contactAge + voidAfter = 2.8 s after it was accepted, however long either
-// process was paused in between.
-func (o *owner) freshAt(now time.Time) bool {
-	return o.contact.fleet != nil && o.sinceContact(now) <= contactAge
+// A paused owner or agent must not start a task in a zone that was taken out long ago. The
+// poll was received before this check, so the agent sent it before the check. The contact
+// began at most maxContactAge before the check, and the fleet that it returned was current
+// at some moment after it began, so every change accepted before that is respected. The
+// agent refuses the start if more than startValidity has passed since it sent the poll. A
+// start that ignores a change therefore happens at most maxContactAge + startValidity =
+// 2.8 s after the change was accepted, however long either process was paused in between.
+func (o *owner) contactFresh(now time.Time) bool {
+	return o.contact.fleet != nil && o.contactAge(now) <= maxContactAge
 }
 
-// sinceContact compares the wall clock as well, since the monotonic clock
-// stands still while a whole VM is suspended.
-func (o *owner) sinceContact(now time.Time) time.Duration {
+// contactAge returns the time since the last store contact began. It compares the wall
+// clock as well, because the monotonic clock does not advance while a whole VM is
+// suspended.
+func (o *owner) contactAge(now time.Time) time.Duration {
 	return max(now.Sub(o.contact.began), now.Round(0).Sub(o.contact.began.Round(0)))
 }
 
-// askContact makes a store contact if one is needed and none is under way.
-func (o *owner) askContact(ctx context.Context) {
+// startContact starts a store contact if one is needed and none is in flight.
+func (o *owner) startContact(ctx context.Context) {
 	now := o.config.Now()
-	if o.asking || now.Sub(o.asked) < contactPause || !o.needContact() {
+	if o.contactInFlight || now.Sub(o.contactStartedAt) < contactInterval || !o.contactNeeded() {
 		return
 	}
-	o.asking, o.asked = true, now
-	o.meters.contacts.Inc()
+	o.contactInFlight, o.contactStartedAt = true, now
+	o.metrics.contacts.Inc()
 	go func() {
-		limited, cancel := context.WithTimeout(ctx, contactLimit)
+		limited, cancel := context.WithTimeout(ctx, contactTimeout)
 		defer cancel()
 		began := o.config.Now()
 		f, err := o.config.Refresh(limited)
@@ -58,24 +59,23 @@
 	}()
 }
 
-func (o *owner) needContact() bool {
-	return len(o.doubtful) > 0 || o.books.CountQueued() > 0 || o.books.Count(messenger.TaskStarting) > 0
+func (o *owner) contactNeeded() bool {
+	return len(o.deferred) > 0 || o.books.CountQueued() > 0 || o.books.Count(messenger.TaskStarting) > 0
 }
 
-func (o *owner) takeContact(e contactEvent) {
-	o.asking = false
+func (o *owner) completeContact(e contactEvent) {
+	o.contactInFlight = false
 	if e.err != nil || e.fleet == nil {
-		o.retryDoubtful(false)
+		o.retryDeferred(false)
 		return
 	}
 	o.contact, o.dirty = e, true
-	o.takeFleet(e.fleet)
+	o.updateFleet(e.fleet)
 	o.withdrawStarts()
-	o.retryDoubtful(true)
+	o.retryDeferred(true)
 }
 
-// withdrawStarts takes back starts that are not confirmed and whose zone is out
-// by now.
+// withdrawStarts withdraws unconfirmed starts in zones that were taken out.
 func (o *owner) withdrawStarts() {
 	for _, vm := range o.books.VMs() {
 		if !o.zoneOut(vm) {
@@ -94,38 +94,39 @@
 	return v != nil && o.fleet.ZoneIsOut(v.Seen.Capacity.Zone)
 }
 
-// withdraw takes a start back. Its task is queued again only when the agent has
-// refused or stopped the attempt, of which a tombstone stays, or the lease of
-// the VM has run out: the order may be on its way already.
+// withdraw journals that a start is withdrawn. The order may already be in transit, so the task is queued
+// again only when the agent has refused or stopped the attempt, for which it keeps a
+// tombstone, or when the lease of the VM has expired.
 func (o *owner) withdraw(t *bookkeeper.Task, reason string) {
 	d := messenger.Decision{Task: t.Spec.ID, VM: t.VM, Reason: reason}
 	stopping := bookkeeper.Stopping{Task: t.Spec.ID, Attempt: t.Attempt, Kind: bookkeeper.StopAbort}
 	o.decide(bookkeeper.Record{Stopping: &stopping}, reporter.StartWithdrawn, d, nil)
 }
 
-// answerPolls answers each poll that has orders or has waited long enough.
-func (o *owner) answerPolls() {
+// replyToPolls replies to each pending poll that has orders or has waited long enough.
+func (o *owner) replyToPolls() {
 	now := o.config.Now()
 	for vm, s := range o.sessions {
-		if s.parked == nil {
+		if s.pending == nil {
 			continue
 		}
 		orders := o.ordersFor(vm, s, now)
-		if len(orders) == 0 && !s.answerNow && now.Before(s.parked.until) {
+		if len(orders) == 0 && !s.replyNow && now.Before(s.pending.until) {
 			continue
 		}
-		o.answerPoll(s, orders)
+		o.replyToPoll(s, orders)
 	}
 }
 
-// answerPoll renews the VM's lease. The ownership is checked after the poll was
-// received: the agent counts the lease from when it sent the poll, hence from
-// before this check, so it ends before a successor stops waiting for it.
-func (o *owner) answerPoll(s *session, orders []messenger.Order) {
-	call := s.parked.call
-	s.parked = nil
+// replyToPoll replies to the pending poll and renews the VM's lease. The ownership is
+// checked after the poll was received. The agent counts the lease from when it sent the
+// poll, hence from before this check, so the lease ends before a successor stops waiting
+// for it.
+func (o *owner) replyToPoll(s *session, orders []messenger.Order) {
+	call := s.pending.call
+	s.pending = nil
 	if !o.held() {
-		call.fail(messenger.CodeNotOwner, "cell %s: ownership can't be renewed", o.config.Cell)
+		call.fail(messenger.CodeNotOwner, "cell %s: the ownership lease could not be renewed in time", o.config.Cell)
 		return
 	}
 	now := o.config.Now()
@@ -135,9 +136,9 @@
 	}
 	for _, order := range orders {
 		at := messenger.TaskAttempt{TaskID: order.TaskID, Attempt: order.Attempt}
-		s.sent[sentOrder{at, order.Kind, order.Percent}] = now
+		s.sentOrders[sentOrder{at, order.Kind, order.Percent}] = now
 	}
-	s.answerNow = false
+	s.replyNow = false
 	acked := s.acked
 	s.acked = nil
 	call.succeed(messenger.PollReply{
@@ -156,21 +157,21 @@
 	return out
 }
 
-// ordersFor returns the orders for a VM that are journalled and due.
+// ordersFor returns the journalled orders for a VM that are due to be sent.
 func (o *owner) ordersFor(vm string, s *session, now time.Time) []messenger.Order {
 	var orders []messenger.Order
 	add := func(order messenger.Order) {
 		at := messenger.TaskAttempt{TaskID: order.TaskID, Attempt: order.Attempt}
-		if sent, ok := s.sent[sentOrder{at, order.Kind, order.Percent}]; !ok || now.Sub(sent) > resendAfter {
+		if sent, ok := s.sentOrders[sentOrder{at, order.Kind, order.Percent}]; !ok || now.Sub(sent) > resendInterval {
 			order.Epoch = o.epoch
 			orders = append(orders, order)
 		}
 	}
-	for at := range s.strays {
+	for at := range s.unassigned {
 		add(messenger.Order{Kind: messenger.OrderStop, TaskID: at.TaskID, Attempt: at.Attempt})
 	}
 	for _, t := range o.books.On(vm) {
-		if o.commits.open[t.Spec.ID] > 0 { // not journalled yet
+		if o.commits.uncommitted[t.Spec.ID] > 0 { // not journalled yet
 			continue
 		}
 		if order, ok := o.orderFor(t, s, now); ok {
@@ -180,14 +181,15 @@
 	return orders
 }
 
+// orderFor returns the order that the state of a task calls for, if any.
 func (o *owner) orderFor(t *bookkeeper.Task, s *session, now time.Time) (messenger.Order, bool) {
 	order := messenger.Order{TaskID: t.Spec.ID, Attempt: t.Attempt}
 	switch t.State {
 	case messenger.TaskStarting:
-		if !o.freshAt(now) || o.zoneOut(t.VM) || now.Sub(s.parked.call.received) > voidAfter {
+		if !o.contactFresh(now) || o.zoneOut(t.VM) || now.Sub(s.pending.call.received) > startValidity {
 			return order, false
 		}
-		order.Kind, order.VoidAfterMillis = messenger.OrderStart, voidAfter.Milliseconds()
+		order.Kind, order.VoidAfterMillis = messenger.OrderStart, startValidity.Milliseconds()
 		order.Needs, order.Class, order.Tenant, order.Service = t.Spec.Needs, t.Spec.Class, t.Spec.Tenant, t.Spec.Service
 		order.Payload, order.RunTime, order.Checkpoint = t.Spec.Payload, t.Spec.RunTimeMillis, t.Checkpoint
 		return order, true
@@ -198,10 +200,10 @@
 		}
 		return order, true
 	case messenger.TaskRunning:
-		// Ordered until the worker tells that it runs so: the order may be lost with a
-		// reply that the agent gave up, or fail at the worker.
+		// Repeated until the worker reports this percentage: the order may be lost with a
+		// reply that the agent no longer waited for, or fail at the worker.
 		at := messenger.TaskAttempt{TaskID: t.Spec.ID, Attempt: t.Attempt}
-		if t.Percent > 0 && s.listed[at].Percent != t.Percent {
+		if t.Percent > 0 && s.reported[at].Percent != t.Percent {
 			order.Kind, order.Percent = messenger.OrderThrottle, t.Percent
 			return order, true
 		}
@@ -209,21 +211,21 @@
 	return order, false
 }
 
-// checkStarts withdraws starts that are neither confirmed nor refused, and
-// forgets orders sent long ago.
+// checkStarts withdraws starts that the agent neither confirmed nor refused in time, and
+// forgets the sent orders of ended attempts.
 func (o *owner) checkStarts(now time.Time) {
 	for vm, s := range o.sessions {
 		if !s.reachable(now) {
 			continue
 		}
 		for _, t := range o.books.On(vm) {
-			if t.State == messenger.TaskStarting && now.Sub(t.Changed) > confirmLimit {
+			if t.State == messenger.TaskStarting && now.Sub(t.Changed) > confirmTimeout {
 				o.withdraw(t, "the agent neither confirmed nor refused it")
 			}
 		}
-		for sent := range s.sent {
+		for sent := range s.sentOrders {
 			if cur := o.books.Task(sent.attempt.TaskID); cur == nil || !cur.Holds() || cur.Attempt != sent.attempt.Attempt {
-				delete(s.sent, sent)
+				delete(s.sentOrders, sent)
 			}
 		}
 	}
--- a/internal/control/controller/orders_test.go
+++ b/internal/control/controller/orders_test.go
@@ -7,9 +7,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// A reply is lost, and with it its orders and acknowledgements: each order comes again
-// until a poll tells of its effect.
-func TestOrdersAreRepeatedUntilAPollTellsOfThem(t *testing.T) {
+// Guards against orders that are lost with a reply: each order must be repeated until a poll
+// reports its effect.
+func TestOrdersAreRepeatedUntilPollConfirms(t *testing.T) {
 	running := messenger.TaskReport{TaskID: "t", Attempt: 1, State: messenger.ReportRunning}
 	stop := func(kind bookkeeper.StopKind) bookkeeper.Record {
 		return bookkeeper.Record{Stopping: &bookkeeper.Stopping{Task: "t", Attempt: 1, Kind: kind}}
@@ -28,69 +28,69 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := newDesk(t)
-			d.apply(bookkeeper.Record{Submitted: &bookkeeper.Submitted{Spec: messenger.TaskSpec{ID: "t"}}},
+			to := newTestOwner(t)
+			to.apply(bookkeeper.Record{Submitted: &bookkeeper.Submitted{Spec: messenger.TaskSpec{ID: "t"}}},
 				bookkeeper.Record{Started: &bookkeeper.Started{Task: "t", VM: "vm", Attempt: 1}})
-			d.apply(tt.records...)
+			to.apply(tt.records...)
 			for i := range 3 {
-				if orders := d.poll(tt.reports...); len(orders) != 1 || orders[0].Kind != tt.want {
-					t.Errorf("poll %d is answered with %+v", i, orders)
+				if orders := to.poll(tt.reports...); len(orders) != 1 || orders[0].Kind != tt.want {
+					t.Errorf("reply to poll %d: %+v, want one %s order", i, orders, tt.want)
 				}
 			}
 		})
 	}
 }
 
-// What a poll lists counts, whatever the owner believes: an attempt that it lacks has
-// ended, one that the owner does not know is stopped until it is gone, and the end of one
-// is acknowledged each time that it is told.
-func TestPollsCorrectTheBooks(t *testing.T) {
-	d := newDesk(t)
-	d.run("t")
-	stray := messenger.TaskReport{TaskID: "stray", Attempt: 4, State: messenger.ReportRunning}
+// A poll overrides the recorded state: an attempt that it does not list has ended, an attempt
+// that the owner does not know is ordered to stop until the poll no longer lists it, and a
+// reported end is acknowledged each time.
+func TestPollOverridesRecordedState(t *testing.T) {
+	to := newTestOwner(t)
+	to.startTask("t")
+	unassigned := messenger.TaskReport{TaskID: "unassigned", Attempt: 4, State: messenger.ReportRunning}
 	for i := range 2 {
-		if orders := d.poll(stray); len(orders) != 1 || orders[0].Kind != messenger.OrderStop || orders[0].TaskID != "stray" {
-			t.Errorf("poll %d with a stray attempt is answered with %+v", i, orders)
+		if orders := to.poll(unassigned); len(orders) != 1 || orders[0].Kind != messenger.OrderStop || orders[0].TaskID != "unassigned" {
+			t.Errorf("reply to poll %d with an unassigned attempt: %+v", i, orders)
 		}
 	}
-	if state := d.books.Task("t").State; state != messenger.TaskQueued {
-		t.Errorf("an attempt that the poll lacks is %s", state)
+	if state := to.books.Task("t").State; state != messenger.TaskQueued {
+		t.Errorf("task of an attempt that the poll does not list is %s", state)
 	}
-	stray.State = messenger.ReportStopped
+	unassigned.State = messenger.ReportStopped
 	for i := range 2 {
-		d.session("vm").acked = nil // lost with the reply
-		if d.poll(stray); len(d.session("vm").acked) != 1 {
-			t.Errorf("poll %d with an end: acknowledged %+v", i, d.session("vm").acked)
+		to.session("vm").acked = nil // lost with the reply
+		if to.poll(unassigned); len(to.session("vm").acked) != 1 {
+			t.Errorf("poll %d with an ended attempt: acknowledged %+v", i, to.session("vm").acked)
 		}
 	}
 }
 
-// A restarted agent knows no upstreams for a moment: their room is kept, and freed once
-// they have been away for long.
-func TestRoomOfUpstreamsThatAreNotAnnounced(t *testing.T) {
-	d := newDesk(t)
-	s := d.session("vm")
-	had := []bookkeeper.ServiceHold{{Service: "s", Count: 2}}
+// A restarted agent knows no upstreams at first: their capacity must stay committed, and be
+// freed once they were not announced for longer than serviceHoldGrace.
+func TestCapacityIsKeptForUnannouncedUpstreams(t *testing.T) {
+	to := newTestOwner(t)
+	s := to.session("vm")
+	committed := []bookkeeper.ServiceHold{{Service: "s", Count: 2}}
 	kept := func() int64 {
-		if holds := s.keepHolds(had, nil, d.now); len(holds) == 1 {
+		if holds := s.mergeHolds(committed, nil, to.now); len(holds) == 1 {
 			return holds[0].Count
 		}
 		return 0
 	}
 	if n := kept(); n != 2 {
-		t.Errorf("%d kept at once", n)
+		t.Errorf("%d kept immediately, want 2", n)
 	}
-	d.now = d.now.Add(holdGrace)
+	to.now = to.now.Add(serviceHoldGrace)
 	if n := kept(); n != 2 {
-		t.Errorf("%d kept within the grace", n)
+		t.Errorf("%d kept during the grace period, want 2", n)
 	}
-	s.keepHolds(had, []bookkeeper.ServiceHold{{Service: "s", Count: 2}}, d.now) // back
-	d.now = d.now.Add(holdGrace)
+	s.mergeHolds(committed, []bookkeeper.ServiceHold{{Service: "s", Count: 2}}, to.now) // announced again
+	to.now = to.now.Add(serviceHoldGrace)
 	if n := kept(); n != 2 {
-		t.Errorf("%d kept after they were back", n)
+		t.Errorf("%d kept after they were announced again, want 2", n)
 	}
-	d.now = d.now.Add(holdGrace + 1)
+	to.now = to.now.Add(serviceHoldGrace + 1)
 	if n := kept(); n != 0 {
-		t.Errorf("%d kept after the grace", n)
+		t.Errorf("%d kept after the grace period, want 0", n)
 	}
 }
--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -14,52 +14,51 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths of the owner's work.
+// Intervals and queue sizes of the owner.
 const (
-	tickEvery   = 50 * time.Millisecond
-	deletePause = 10 * time.Millisecond
-	callQueue   = 1024
+	tickInterval  = 50 * time.Millisecond
+	deletePause   = 10 * time.Millisecond // between deletions of journal entries
+	callQueueSize = 1024
 )
 
-// callEvent is a call that waits for its answer.
+// callEvent is a call that waits for its result.
 type callEvent struct {
 	request  any
 	received time.Time
-	answer   chan answer // holds one
+	result   chan callResult // holds one
 }
 
-type answer struct {
-	result any
-	err    error
+type callResult struct {
+	value any
+	err   error
 }
 
-// appendEvent tells that an append is settled.
+// appendEvent reports the outcome of a journal append.
 type appendEvent struct {
-	group group
+	group commitGroup
 	err   error
 }
 
-// contactEvent tells that a store contact has ended.
+// contactEvent reports the outcome of a store contact, which reads the fleet.
 type contactEvent struct {
 	fleet *describer.Fleet
 	began time.Time
 	err   error
 }
 
-// snapshotEvent tells that a snapshot has ended.
+// snapshotEvent reports the outcome of a snapshot.
 type snapshotEvent struct{ err error }
 
-// owner is this process's ownership of the cell in one epoch. Its fields belong
-// to the goroutine of run.
+// owner runs the cell for one epoch. Its fields are accessed only by the goroutine of run.
 type owner struct {
-	config     Config
-	held       func() bool // whether the ownership is surely held now
-	strained   func() bool // whether the store may be away
-	epoch      int64
-	tookOver   time.Time
-	priorLease time.Duration // the longest that an earlier owner may have granted
-	books      *bookkeeper.Books
-	journal    *journaler.Journaler
+	config         Config
+	held           func() bool // whether the ownership is certainly held now
+	renewalOverdue func() bool // whether the store may be unavailable
+	epoch          int64
+	tookOver       time.Time
+	priorLease     time.Duration // the longest lease that an earlier owner may have granted
+	books          *bookkeeper.Books
+	journal        *journaler.Journaler
 
 	calls     chan callEvent
 	appended  chan appendEvent
@@ -68,29 +67,30 @@
 	stop      chan struct{}
 	done      chan struct{}
 
-	commits  commits
-	rest     *time.Timer  // ends the rest after the beginning of an append
-	contact  contactEvent // the last that succeeded
-	doubtful []doubtfulSubmit
-	asking   bool // a contact is under way
-	asked    time.Time
-	fleet    *describer.Fleet // newest known
-	returned map[string]time.Time
-	sessions map[string]*session
-	evicts   budget
-	planned  time.Time
-	dirty    bool // something changed that a plan depends on
-	urgent   bool // an urgent task was queued
-	waits    map[string]string
-	outage   bool
-	settled  bool
-	stopping bool
-	checked  time.Time
-	swept    time.Time
-	freed    freed
-	meters   meters
+	commits          commitQueue
+	appendTimer      *time.Timer  // fires when the next append may start
+	contact          contactEvent // the last successful one
+	deferred         []deferredSubmit
+	contactInFlight  bool
+	contactStartedAt time.Time
+	fleet            *describer.Fleet // newest known version
+	zoneReturnedAt   map[string]time.Time
+	sessions         map[string]*session
+	evictionBudget   tokenBucket
+	plannedAt        time.Time
+	dirty            bool // something changed that the placement depends on
+	urgent           bool // an urgent task was queued
+	waitReasons      map[string]string
+	outage           bool
+	reconciled       bool // no lease of an earlier owner is valid any more
+	stopping         bool
+	checkedAt        time.Time
+	claimsSweptAt    time.Time
+	notRun           notRunRequests
+	metrics          cellMetrics
 }
 
+// recover reads the journal, opens an epoch and rebuilds the cell's state.
 func (c *Controller) recover(ctx context.Context, j *journaler.Journaler, tookOver time.Time) (*owner, error) {
 	outage := c.config.OutageLease
 	if outage <= 0 {
@@ -99,7 +99,7 @@
 			outage = p
 		}
 	}
-	r, err := j.Open(ctx, func(epoch int64) ([]json.RawMessage, error) { return c.opening(epoch, outage) })
+	r, err := j.Open(ctx, func(epoch int64) ([]json.RawMessage, error) { return c.openingRecords(epoch, outage) })
 	if err != nil {
 		return nil, err
 	}
@@ -109,9 +109,9 @@
 			return nil, err
 		}
 	}
-	var prior time.Duration
+	var priorLease time.Duration
 	for _, e := range r.Entries {
-		prior = books.MaxLease()
+		priorLease = books.MaxLease()
 		for _, raw := range e.Records {
 			var record bookkeeper.Record
 			if err := json.Unmarshal(raw, &record); err != nil {
@@ -127,10 +127,10 @@
 		"cell": c.config.Cell, "epoch": r.Epoch, "entries": len(r.Entries), "snapshot-bytes": len(r.Snapshot),
 		"took": c.config.Now().Sub(tookOver).String(),
 	})
-	return c.newOwner(j, books, tookOver, prior), nil
+	return c.newOwner(j, books, tookOver, priorLease), nil
 }
 
-func (c *Controller) opening(epoch int64, outage time.Duration) ([]json.RawMessage, error) {
+func (c *Controller) openingRecords(epoch int64, outage time.Duration) ([]json.RawMessage, error) {
 	record := bookkeeper.Record{
 		At:       c.config.Now().Round(0),
 		TookOver: &bookkeeper.TookOver{Epoch: epoch, EntryID: c.config.EntryID, VMLease: c.config.VMLease, OutageLease: outage},
@@ -143,32 +143,32 @@
 	return []json.RawMessage{raw}, nil
 }
 
-func (c *Controller) newOwner(j *journaler.Journaler, books *bookkeeper.Books, tookOver time.Time, prior time.Duration) *owner {
+func (c *Controller) newOwner(j *journaler.Journaler, books *bookkeeper.Books, tookOver time.Time, priorLease time.Duration) *owner {
 	o := &owner{
-		config: c.config, held: c.elector.Held, strained: c.elector.RenewalOverdue,
-		epoch: j.Epoch(), tookOver: tookOver, priorLease: prior, books: books, journal: j,
-		calls: make(chan callEvent, callQueue), appended: make(chan appendEvent, 1),
+		config: c.config, held: c.elector.Held, renewalOverdue: c.elector.RenewalOverdue,
+		epoch: j.Epoch(), tookOver: tookOver, priorLease: priorLease, books: books, journal: j,
+		calls: make(chan callEvent, callQueueSize), appended: make(chan appendEvent, 1),
 		contacted: make(chan contactEvent, 1), snapshots: make(chan snapshotEvent, 1),
 		stop: make(chan struct{}, 1), done: make(chan struct{}),
-		commits: commits{next: j.NextSeq(), open: make(map[string]int)},
-		fleet:   c.config.Fleet(), returned: make(map[string]time.Time),
-		sessions: make(map[string]*session), waits: make(map[string]string), dirty: true,
+		commits: commitQueue{nextSeq: j.NextSeq(), uncommitted: make(map[string]int)},
+		fleet:   c.config.Fleet(), zoneReturnedAt: make(map[string]time.Time),
+		sessions: make(map[string]*session), waitReasons: make(map[string]string), dirty: true,
 	}
-	o.meters = newMeters(c.config.Metrics, c.config.Cell)
+	o.metrics = newCellMetrics(c.config.Metrics, c.config.Cell)
 	for _, name := range books.VMs() {
-		o.sessions[name] = &session{leaseUntil: o.leaseEnd(tookOver, prior), strays: make(map[messenger.TaskAttempt]bool), sent: make(map[sentOrder]time.Time)}
+		o.sessions[name] = &session{leaseUntil: o.leaseEnd(tookOver, priorLease), unassigned: make(map[messenger.TaskAttempt]bool), sentOrders: make(map[sentOrder]time.Time)}
 	}
 	return o
 }
 
-// run owns the cell until ctx ends, another owner is met, or a stop is asked.
+// run runs the cell until ctx ends, another owner is detected, or a stop is requested.
 func (o *owner) run(ctx context.Context) error {
 	work, cancel := context.WithCancel(ctx)
-	defer o.end(cancel)
-	tick := time.NewTicker(tickEvery)
+	defer o.shutdown(cancel)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	o.rest = time.NewTimer(appendRest)
-	defer o.rest.Stop()
+	o.appendTimer = time.NewTimer(minAppendInterval)
+	defer o.appendTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -176,39 +176,39 @@
 		case <-o.stop:
 			o.stopping = true
 		case call := <-o.calls:
-			o.take(call)
-			o.takeWaiting()
+			o.handle(call)
+			o.handleQueuedCalls()
 		case e := <-o.appended:
-			if err := o.settle(work, e); err != nil {
+			if err := o.completeAppend(work, e); err != nil {
 				return err
 			}
 		case e := <-o.contacted:
-			o.takeContact(e)
+			o.completeContact(e)
 		case e := <-o.snapshots:
-			o.takeSnapshot(e)
-		case <-o.rest.C:
-			o.commits.resting = false
+			o.completeSnapshot(e)
+		case <-o.appendTimer.C:
+			o.commits.rateLimited = false
 		case <-tick.C:
 			o.tick()
 		}
 		o.plan()
 		o.flush(work)
-		o.askContact(work)
-		o.answerPolls()
+		o.startContact(work)
+		o.replyToPolls()
 		if o.stopping && o.commits.idle() {
 			return nil
 		}
 	}
 }
 
-// end leaves no call without an answer and waits for what runs aside.
-func (o *owner) end(cancel context.CancelFunc) {
+// shutdown unblocks all callers and waits for the goroutines in flight.
+func (o *owner) shutdown(cancel context.CancelFunc) {
 	cancel()
 	close(o.done)
 	if o.commits.appending {
 		<-o.appended
 	}
-	if o.asking {
+	if o.contactInFlight {
 		<-o.contacted
 	}
 	if o.commits.snapshotting {
@@ -216,105 +216,104 @@
 	}
 }
 
-// takeWaiting takes all calls that wait already, so that one journal entry
-// carries what they decide.
-func (o *owner) takeWaiting() {
-	for range callQueue {
+// handleQueuedCalls handles all calls that are already queued, so that their decisions
+// are journalled in one entry.
+func (o *owner) handleQueuedCalls() {
+	for range callQueueSize {
 		select {
 		case call := <-o.calls:
-			o.take(call)
+			o.handle(call)
 		default:
 			return
 		}
 	}
 }
 
-func (o *owner) take(call callEvent) {
+func (o *owner) handle(call callEvent) {
 	if o.stopping {
-		call.fail(messenger.CodeNotOwner, "cell %s is being handed over", o.config.Cell)
+		call.fail(messenger.CodeNotOwner, "cell %s: %s is giving up the ownership", o.config.Cell, o.config.EntryID)
 		return
 	}
 	switch r := call.request.(type) {
 	case messenger.Poll:
-		o.takePoll(call, r)
+		o.handlePoll(call, r)
 	case messenger.SubmitRequest:
-		o.takeSubmit(call, r)
+		o.handleSubmit(call, r)
 	case messenger.CancelRequest:
-		o.takeCancel(call, r)
+		o.handleCancel(call, r)
 	case messenger.ClaimRequest:
-		o.takeClaim(call, r)
+		o.handleClaim(call, r)
 	case messenger.SettleRequest:
-		o.takeSettle(call, r)
+		o.handleSettle(call, r)
 	case messenger.FindTasksOptions:
 		call.succeed(o.findTasks(r))
 	case messenger.StatusRequest:
 		call.succeed(o.status())
 	case messenger.ExplainRequest:
-		o.takeExplain(call, r)
+		o.handleExplain(call, r)
 	case messenger.EventsRequest:
 		call.succeed(o.events(r))
 	}
 }
 
-func (e callEvent) succeed(result any) { e.answer <- answer{result: result} }
+func (e callEvent) succeed(result any) { e.result <- callResult{value: result} }
 
 func (e callEvent) fail(code int64, format string, args ...any) {
-	e.answer <- answer{err: connector.Errorf(code, format, args...)}
+	e.result <- callResult{err: connector.Errorf(code, format, args...)}
 }
 
-// tick does what time alone brings about.
+// tick runs the periodic checks.
 func (o *owner) tick() {
 	o.checkFleet()
 	o.checkOutage()
 	now := o.config.Now()
-	if now.Sub(o.checked) < checkEvery {
+	if now.Sub(o.checkedAt) < checkInterval {
 		return
 	}
-	o.checked = now
+	o.checkedAt = now
 	o.checkLeases(now)
 	o.checkStarts(now)
 	o.checkQuarantines(now)
 	o.checkHeld()
 	o.checkReplicas()
 	o.checkZones(now)
-	o.checkRoom()
-	o.checkClaims(now)
+	o.checkOvercommit()
+	o.expireClaims(now)
 }
 
-const checkEvery = 200 * time.Millisecond
+const checkInterval = 200 * time.Millisecond
 
-// checkFleet takes a newer fleet over.
+// checkFleet applies a newer version of the fleet.
 func (o *owner) checkFleet() {
-	o.takeFleet(o.config.Fleet())
+	o.updateFleet(o.config.Fleet())
 }
 
-func (o *owner) takeFleet(f *describer.Fleet) {
+func (o *owner) updateFleet(f *describer.Fleet) {
 	if f == nil || f.Version() <= o.fleet.Version() {
 		return
 	}
 	for _, z := range f.Zones() {
 		if o.fleet.Version() > 0 && o.fleet.ZoneIsOut(z.Name) && z.State == describer.ZoneIn {
-			o.returned[z.Name] = o.config.Now()
+			o.zoneReturnedAt[z.Name] = o.config.Now()
 		}
 	}
 	o.fleet, o.dirty = f, true
 }
 
-// checkOutage notes the begin and the end of a store outage as this process
-// sees it, and answers waiting polls at once, so that agents get the other
-// lease in the time that is left.
+// checkOutage detects the start and the end of a store outage. It replies to pending polls
+// at once, so that agents get the changed lease before their current one expires.
 func (o *owner) checkOutage() {
-	strained := o.strained()
-	if strained == o.outage {
+	overdue := o.renewalOverdue()
+	if overdue == o.outage {
 		return
 	}
-	o.outage = strained
+	o.outage = overdue
 	code := reporter.OutageLeaseEnded
-	if strained {
+	if overdue {
 		code = reporter.OutageLeaseGranted
 	}
 	o.config.Reporter.Report(code, reporter.Fields{"cell": o.config.Cell, "lease": o.config.OutageLease.String()})
 	for _, s := range o.sessions {
-		s.answerNow = true
+		s.replyNow = true
 	}
 }
--- a/internal/control/controller/planning.go
+++ b/internal/control/controller/planning.go
@@ -10,67 +10,67 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Pace of rounds.
+// Intervals between placement rounds.
 const (
-	roundPause = 50 * time.Millisecond
-	roundEvery = 200 * time.Millisecond
-	// staleRoundEvery is the pace of rounds that only relieve services, while
-	// queued tasks wait for a store contact.
-	staleRoundEvery = time.Second
+	minRoundInterval = 50 * time.Millisecond
+	roundInterval    = 200 * time.Millisecond
+	// staleRoundInterval applies to rounds that only throttle and move tasks to protect
+	// services, while queued tasks wait for a store contact.
+	staleRoundInterval = time.Second
 )
 
-// plan runs a round of the placer if there is work for it. Starts need a recent
-// store contact; a round without one leaves the queue out, so that services
-// under pressure are relieved also while nothing is queued, and no contact is
-// asked for, or while the store is slow.
+// plan runs a placement round if one is due. Starts need a recent store contact. A round
+// without one leaves out the queued tasks, so that services under pressure are still
+// protected when nothing is queued, and thus no contact is made, or when the store is slow.
 func (o *owner) plan() {
 	now := o.config.Now()
-	since := now.Sub(o.planned)
+	since := now.Sub(o.plannedAt)
 	work := o.books.CountQueued() > 0 || o.books.Count(messenger.TaskRunning) > 0
-	if !work || o.slow() || o.stopping || !o.held() {
+	if !work || o.appendSlow() || o.stopping || !o.held() {
 		return
 	}
-	fresh := o.freshAt(now)
-	if !fresh && o.books.CountQueued() > 0 && since < staleRoundEvery {
+	fresh := o.contactFresh(now)
+	if !fresh && o.books.CountQueued() > 0 && since < staleRoundInterval {
 		return
 	}
-	if since < roundEvery && !o.urgent && !(o.dirty && since >= roundPause) {
+	if since < roundInterval && !o.urgent && !(o.dirty && since >= minRoundInterval) {
 		return
 	}
-	o.planned, o.dirty, o.urgent = now, false, false
-	snapshot := o.snapshot(now)
+	o.plannedAt, o.dirty, o.urgent = now, false, false
+	snapshot := o.placerSnapshot(now)
 	if !fresh {
 		snapshot.Queued = nil
 	}
 	began := time.Now()
 	plan := o.config.Placer.Plan(snapshot)
-	o.meters.round.Update(time.Since(began).Seconds())
+	o.metrics.round.Update(time.Since(began).Seconds())
 	if fresh {
-		o.waits = plan.Waits
+		o.waitReasons = plan.Waits
 	}
-	o.carryOut(plan, now)
+	o.applyPlan(plan, now)
 }
 
-func (o *owner) carryOut(plan placer.Plan, now time.Time) {
+// applyPlan journals the decisions of a plan that still apply.
+func (o *owner) applyPlan(plan placer.Plan, now time.Time) {
 	probed := make(map[string]bool)
 	for _, s := range plan.Starts {
 		o.start(s, probed)
 	}
 	for _, e := range plan.Evictions {
-		if t := o.books.Task(e.TaskID); t != nil && t.State == messenger.TaskRunning && o.evicts.take(now, o.evictionRate()) {
+		if t := o.books.Task(e.TaskID); t != nil && t.State == messenger.TaskRunning && o.evictionBudget.take(now, o.evictionRate()) {
 			o.move(t, e.Reason, e.Inputs)
 		}
 	}
-	for _, h := range plan.Throttles {
-		t := o.books.Task(h.TaskID)
-		if t == nil || t.State != messenger.TaskRunning || t.Percent == h.Percent {
+	for _, th := range plan.Throttles {
+		t := o.books.Task(th.TaskID)
+		if t == nil || t.State != messenger.TaskRunning || t.Percent == th.Percent {
 			continue
 		}
-		d := messenger.Decision{Task: h.TaskID, VM: t.VM, Reason: h.Reason, Inputs: h.Inputs}
-		if o.decide(bookkeeper.Record{Throttled: &bookkeeper.Throttled{Task: h.TaskID, Percent: h.Percent}}, reporter.ThrottleDecided, d, nil) {
-			o.session(t.VM).closeHistory(h.TaskID, now)
-			o.session(t.VM).openHistory(t, now)
-			o.session(t.VM).acted = now
+		d := messenger.Decision{Task: th.TaskID, VM: t.VM, Reason: th.Reason, Inputs: th.Inputs}
+		if o.decide(bookkeeper.Record{Throttled: &bookkeeper.Throttled{Task: th.TaskID, Percent: th.Percent}}, reporter.ThrottleDecided, d, nil) {
+			o.session(t.VM).endPlacement(th.TaskID, now)
+			o.session(t.VM).addPlacement(t, now)
+			o.session(t.VM).lastAdjusted = now
 		}
 	}
 	for _, h := range plan.Holds {
@@ -80,8 +80,8 @@
 	}
 }
 
-// start journals one start. A VM that is being probed after a quarantine gets
-// one task at a time, so that it can't fail a whole wave.
+// start journals the start of a task. A VM that is probed after a quarantine gets one task
+// at a time, so that it can't fail many tasks at once.
 func (o *owner) start(s placer.Start, probed map[string]bool) {
 	t, v := o.books.Task(s.TaskID), o.books.VM(s.VM)
 	if t == nil || v == nil || t.State != messenger.TaskQueued {
@@ -96,55 +96,56 @@
 	d := messenger.Decision{Task: s.TaskID, VM: s.VM, Service: t.Spec.Service, Reason: s.Reason, Inputs: s.Inputs}
 	started := bookkeeper.Started{Task: s.TaskID, VM: s.VM, Attempt: t.Attempt + 1, Incarnation: o.session(s.VM).incarnation}
 	if o.decide(bookkeeper.Record{Started: &started}, reporter.StartDecided, d, nil) {
-		o.meters.starts.Inc()
-		o.session(s.VM).openHistory(t, o.config.Now())
+		o.metrics.starts.Inc()
+		o.session(s.VM).addPlacement(t, o.config.Now())
 	}
 }
 
-// checkRoom moves tasks off a VM on which an upstream has come up that its room
-// was not kept for: upstreams announce themselves where their operators start
-// them. The promise that a VM is never overcommitted goes before the budget of
-// evictions; tasks that can be checkpointed go first, the latest first.
-func (o *owner) checkRoom() {
+// checkOvercommit moves tasks off a VM on which an upstream was started that no capacity
+// was reserved for: upstreams announce themselves wherever their operators start them. The
+// guarantee that a VM is never overcommitted has priority over the eviction budget. Tasks
+// that can be checkpointed are moved first, the latest first.
+func (o *owner) checkOvercommit() {
 	for _, vm := range o.books.VMs() {
-		total, held := o.books.VM(vm).Seen.Capacity.Total, o.books.Committed(vm)
-		if held.Fits(total) {
+		total, committed := o.books.VM(vm).Seen.Capacity.Total, o.books.Committed(vm)
+		if committed.Fits(total) {
 			continue
 		}
 		tasks := o.books.On(vm)
 		for _, t := range tasks {
 			if t.State == messenger.TaskStopping {
-				held = held.Sub(t.Spec.Needs)
+				committed = committed.Sub(t.Spec.Needs)
 			}
 		}
 		for _, checkpoint := range []bool{true, false} {
-			for i := len(tasks) - 1; i >= 0 && !held.Fits(total); i-- {
+			for i := len(tasks) - 1; i >= 0 && !committed.Fits(total); i-- {
 				t := tasks[i]
 				class, _ := o.fleet.TaskClass(t.Spec.Class)
 				if t.Spec.Service == "" && t.State != messenger.TaskStopping && class.Checkpoint == checkpoint {
-					held = held.Sub(t.Spec.Needs)
-					o.move(t, "an upstream needs its room", map[string]string{"vm": vm})
+					committed = committed.Sub(t.Spec.Needs)
+					o.move(t, "an upstream needs its capacity", map[string]string{"vm": vm})
 				}
 			}
 		}
 	}
 }
 
+// move journals that a task is to be stopped and queued again, from a checkpoint if possible.
 func (o *owner) move(t *bookkeeper.Task, reason string, inputs map[string]string) {
 	d := messenger.Decision{Task: t.Spec.ID, VM: t.VM, Service: t.Spec.Service, Reason: reason, Inputs: inputs}
 	stopping := bookkeeper.Stopping{Task: t.Spec.ID, Attempt: t.Attempt, Kind: bookkeeper.StopMove}
 	if o.decide(bookkeeper.Record{Stopping: &stopping}, reporter.MoveDecided, d, nil) {
-		o.meters.evictions.Inc()
-		o.session(t.VM).acted = o.config.Now()
+		o.metrics.evictions.Inc()
+		o.session(t.VM).lastAdjusted = o.config.Now()
 	}
 }
 
-// snapshot describes the cell to the placer.
-func (o *owner) snapshot(now time.Time) placer.Snapshot {
+// placerSnapshot describes the cell to the placer.
+func (o *owner) placerSnapshot(now time.Time) placer.Snapshot {
 	s := placer.Snapshot{
 		Now: now, Fleet: o.fleet, Interference: o.config.Interference, Pressure: o.config.Pressure,
-		Recent: o.config.Recent, Unsettled: !o.settled,
-		EvictionsLeft: o.evicts.left(now, o.evictionRate()),
+		Recent: o.config.Recent, Unsettled: !o.reconciled,
+		EvictionsLeft: o.evictionBudget.left(now, o.evictionRate()),
 	}
 	names := o.books.VMs()
 	for _, name := range names {
@@ -154,7 +155,7 @@
 		}
 	}
 	for _, t := range o.books.Queued() {
-		if !lasts(t.NotBefore, now, lastBackoff) {
+		if !pauseActive(t.NotBefore, now, maxBackoff) {
 			p := o.describeTask(t, len(names))
 			p.NotBefore = time.Time{}
 			s.Queued = append(s.Queued, p)
@@ -168,9 +169,9 @@
 	c := v.Seen.Capacity
 	vm := placer.VM{
 		Name: name, Zone: c.Zone, Rack: c.Rack, Total: c.Total, Committed: o.books.Committed(name),
-		Reachable: session.reachable(now) && now.Sub(session.joined) >= newVMPause, Leaving: v.Seen.Leaving,
+		Reachable: session.reachable(now) && now.Sub(session.firstSeen) >= newVMDelay, Leaving: v.Seen.Leaving,
 		Quarantined: v.Quarantined != "" || v.Quarantines > 0 && o.books.CountOn(name) > 0,
-		ReturnedAt:  o.returned[c.Zone], Acted: session.acted,
+		ReturnedAt:  o.zoneReturnedAt[c.Zone], Acted: session.lastAdjusted,
 	}
 	for _, h := range v.Seen.Services {
 		vm.Services = append(vm.Services, h.Service)
@@ -192,9 +193,9 @@
 		NotBefore: t.NotBefore, Percent: t.Percent,
 	}
 	if t.Holds() {
-		p.Started, p.NotBefore = t.NotBefore, time.Time{} // while it holds, NotBefore is when it was started
+		p.Started, p.NotBefore = t.NotBefore, time.Time{} // while a task holds resources, NotBefore is its start time
 	}
-	if len(t.FailedOn) > 0 && len(t.FailedOn) < vms { // failed everywhere: any VM is as good
+	if len(t.FailedOn) > 0 && len(t.FailedOn) < vms { // if it failed on every VM, none is avoided
 		p.Avoid = make(map[string]bool, len(t.FailedOn))
 		for _, vm := range t.FailedOn {
 			p.Avoid[vm] = true
--- a/internal/control/controller/quarantine.go
+++ b/internal/control/controller/quarantine.go
@@ -10,16 +10,16 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Quarantine of VMs on which everything fails.
+// Quarantine of VMs on which every task fails.
 const (
 	failuresToQuarantine = 3 // different tasks in a row, without a success
-	firstQuarantine      = 10 * time.Second
-	lastQuarantine       = 10 * time.Minute
+	minQuarantine        = 10 * time.Second
+	maxQuarantine        = 10 * time.Minute
 )
 
-// suspect quarantines a VM on which several different tasks failed in a row. In
-// a VM that is being probed one failure is enough.
-func (o *owner) suspect(vm string) {
+// quarantineIfFailing quarantines a VM on which several different tasks failed in a row.
+// On a VM that is being probed one failure is enough.
+func (o *owner) quarantineIfFailing(vm string) {
 	v := o.books.VM(vm)
 	if v == nil || v.Quarantined != "" {
 		return
@@ -27,7 +27,7 @@
 	if len(v.Failing) < failuresToQuarantine && v.Quarantines == 0 {
 		return
 	}
-	length := min(firstQuarantine<<min(v.Quarantines, 10), lastQuarantine)
+	length := min(minQuarantine<<min(v.Quarantines, 10), maxQuarantine)
 	until := o.config.Now().Add(length).Round(0).UTC()
 	reason := fmt.Sprintf("%d different tasks failed in a row", len(v.Failing))
 	o.decide(bookkeeper.Record{Quarantine: &bookkeeper.Quarantine{VM: vm, Reason: reason, Until: until}}, reporter.VMQuarantined,
@@ -36,17 +36,19 @@
 		}}, nil)
 }
 
-// lasts tells whether a pause until a time of day goes on. An end that is further away
-// than the longest pause was set by a clock that has jumped back since.
-func lasts(until, now time.Time, longest time.Duration) bool {
+// pauseActive reports whether a pause until the given time of day is still active. An end
+// that is further away than the longest pause was set by a clock that has stepped back
+// since.
+func pauseActive(until, now time.Time, longest time.Duration) bool {
 	left := until.Sub(now)
 	return left > 0 && left <= longest
 }
 
-// checkQuarantines lets VMs be probed whose time is over.
+// checkQuarantines ends the quarantines that have expired. Tasks then probe the VM one at a
+// time.
 func (o *owner) checkQuarantines(now time.Time) {
 	for _, name := range o.books.VMs() {
-		if v := o.books.VM(name); v.Quarantined != "" && !lasts(v.Until, now, lastQuarantine) {
+		if v := o.books.VM(name); v.Quarantined != "" && !pauseActive(v.Until, now, maxQuarantine) {
 			o.decide(bookkeeper.Record{Quarantine: &bookkeeper.Quarantine{VM: name}}, reporter.VMReleased,
 				messenger.Decision{VM: name, Reason: "one task at a time may probe the VM"}, nil)
 		}
--- a/internal/control/controller/query.go
+++ b/internal/control/controller/query.go
@@ -8,7 +8,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits of lists.
+// Default limits of list replies.
 const (
 	defaultFindLimit   = 1000
 	defaultEventsLimit = 500
@@ -45,8 +45,8 @@
 	if v := o.books.VM(t.VM); v != nil {
 		view.Zone = v.Seen.Capacity.Zone
 	}
-	if t.State == messenger.TaskQueued && o.waits[t.Spec.ID] != "" {
-		view.Reason = o.waits[t.Spec.ID]
+	if t.State == messenger.TaskQueued && o.waitReasons[t.Spec.ID] != "" {
+		view.Reason = o.waitReasons[t.Spec.ID]
 	}
 	return view
 }
@@ -55,7 +55,7 @@
 	now := o.config.Now()
 	s := messenger.Status{
 		Cell: o.config.Cell, Owner: o.config.EntryID, Epoch: o.epoch, FleetVersion: o.fleet.Version(),
-		StoreReached: !o.strained(), JournalNext: o.commits.next, Tasks: o.books.Counts(),
+		StoreReached: !o.renewalOverdue(), JournalNext: o.commits.nextSeq, Tasks: o.books.Counts(),
 		VMs: []messenger.VMStatus{}, Zones: []messenger.ZoneStatus{},
 	}
 	zones := make(map[string]*messenger.ZoneStatus)
@@ -88,8 +88,8 @@
 	return messenger.EventsReply{Decisions: o.books.Decisions(r.Above, limit)}
 }
 
-// takeExplain tells the story of a task, VM or service from its decisions.
-func (o *owner) takeExplain(call callEvent, r messenger.ExplainRequest) {
+// handleExplain replies with the state of a task, VM or service and the decisions about it.
+func (o *owner) handleExplain(call callEvent, r messenger.ExplainRequest) {
 	var reply messenger.ExplainReply
 	var match func(*messenger.Decision) bool
 	switch r.Kind {
@@ -116,7 +116,7 @@
 		reply.Summary = o.summarizeService(r.Name)
 		match = func(d *messenger.Decision) bool { return d.Service == r.Name }
 	default:
-		call.fail(messenger.CodeBadRequest, "kind %q: want task, vm or service", r.Kind)
+		call.fail(messenger.CodeBadRequest, "unknown kind %q: want task, vm or service", r.Kind)
 		return
 	}
 	reply.Decisions = o.books.FindDecisions(match)
@@ -136,10 +136,10 @@
 }
 
 func (o *owner) summarizeVM(name string) string {
-	v, held, total := o.books.VM(name), o.books.Committed(name), o.books.VM(name).Seen.Capacity.Total
+	v, committed, total := o.books.VM(name), o.books.Committed(name), o.books.VM(name).Seen.Capacity.Total
 	text := fmt.Sprintf("VM %s in zone %s holds %d tasks and has committed %d of %d millicores, %d of %d bytes of memory, %d of %d accelerators",
-		name, v.Seen.Capacity.Zone, o.books.CountOn(name), held.Millicores, total.Millicores,
-		held.MemoryBytes, total.MemoryBytes, held.Accelerators, total.Accelerators)
+		name, v.Seen.Capacity.Zone, o.books.CountOn(name), committed.Millicores, total.Millicores,
+		committed.MemoryBytes, total.MemoryBytes, committed.Accelerators, total.Accelerators)
 	if v.Quarantined != "" {
 		text += ", in quarantine: " + v.Quarantined
 	}
@@ -164,5 +164,5 @@
 			}
 		}
 	}
-	return fmt.Sprintf("service %s has %d upstreams; %d of %d replicas kept by the scheduler run", name, upstreams, replicas, service.Replicas)
+	return fmt.Sprintf("service %s has %d upstreams; %d of %d replicas managed by the scheduler are running", name, upstreams, replicas, service.Replicas)
 }
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -9,52 +9,52 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths after failures.
+// Backoff and limits after failures.
 const (
-	firstBackoff       = 500 * time.Millisecond
-	lastBackoff        = 30 * time.Second
+	minBackoff         = 500 * time.Millisecond
+	maxBackoff         = 30 * time.Second
 	refusedBackoff     = 300 * time.Millisecond
 	defaultMaxAttempts = 3
 )
 
-// ending is how an attempt ended.
-type ending struct {
+// attemptEnd describes how an attempt ended.
+type attemptEnd struct {
 	state      messenger.ReportState
 	reason     string
 	checkpoint string
-	unheard    bool // the VM did not tell how it ended
+	unreported bool // the VM did not report how the attempt ended
 }
 
-// takeReports takes what the agent says about attempts. A poll lists every
-// attempt on the VM, so one that is confirmed and missing runs no more.
-func (o *owner) takeReports(s *session, p messenger.Poll) {
+// applyReports applies the agent's reports on attempts. A poll lists every attempt on the
+// VM, so a confirmed attempt that is missing has ended.
+func (o *owner) applyReports(s *session, p messenger.Poll) {
 	vm := p.Capacity.VM
-	s.listed = make(map[messenger.TaskAttempt]messenger.TaskReport, len(p.Tasks))
+	s.reported = make(map[messenger.TaskAttempt]messenger.TaskReport, len(p.Tasks))
 	for _, r := range p.Tasks {
 		at := messenger.TaskAttempt{TaskID: r.TaskID, Attempt: r.Attempt}
-		s.listed[at] = r
-		o.takeReport(s, vm, at, r)
+		s.reported[at] = r
+		o.applyReport(s, vm, at, r)
 	}
-	for at := range s.strays {
-		if !s.lists(at) {
-			delete(s.strays, at)
+	for at := range s.unassigned {
+		if !s.hasReport(at) {
+			delete(s.unassigned, at)
 		}
 	}
 	for _, t := range o.books.On(vm) {
 		at := messenger.TaskAttempt{TaskID: t.Spec.ID, Attempt: t.Attempt}
-		if t.State == messenger.TaskRunning && !s.lists(at) {
-			o.endAttempt(t, ending{state: messenger.ReportLost, reason: "not running on its VM any more", unheard: true}, nil)
+		if t.State == messenger.TaskRunning && !s.hasReport(at) {
+			o.endAttempt(t, attemptEnd{state: messenger.ReportLost, reason: "no longer reported by its VM", unreported: true}, nil)
 		}
 	}
 }
 
-// lists tells whether the latest poll listed an attempt.
-func (s *session) lists(at messenger.TaskAttempt) bool {
-	_, ok := s.listed[at]
+// hasReport reports whether the latest poll listed an attempt.
+func (s *session) hasReport(at messenger.TaskAttempt) bool {
+	_, ok := s.reported[at]
 	return ok
 }
 
-func (o *owner) takeReport(s *session, vm string, at messenger.TaskAttempt, r messenger.TaskReport) {
+func (o *owner) applyReport(s *session, vm string, at messenger.TaskAttempt, r messenger.TaskReport) {
 	t := o.books.Task(at.TaskID)
 	current := t != nil && t.Holds() && t.VM == vm && t.Attempt == at.Attempt
 	switch {
@@ -63,94 +63,95 @@
 			o.decide(bookkeeper.Record{Confirmed: &bookkeeper.Confirmed{Task: at.TaskID, Attempt: at.Attempt}},
 				reporter.StartConfirmed, messenger.Decision{Task: at.TaskID, VM: vm, Reason: "agent reports it running"}, nil)
 			if t.Attempt == 1 {
-				o.meters.waited(t.Spec, o.config.Now().Sub(t.Submitted))
+				o.metrics.observeStartWait(t.Spec, o.config.Now().Sub(t.Submitted))
 			}
 		}
 	case current:
-		o.endAttempt(t, ending{state: r.State, reason: r.Reason, checkpoint: r.Checkpoint}, func() { o.ack(s, at) })
+		o.endAttempt(t, attemptEnd{state: r.State, reason: r.Reason, checkpoint: r.Checkpoint}, func() { o.ack(s, at) })
 	case r.State == messenger.ReportRunning:
-		if !s.strays[at] {
-			s.strays[at] = true
+		if !s.unassigned[at] {
+			s.unassigned[at] = true
 			o.config.Reporter.Report(reporter.StrayStopped, reporter.Fields{"cell": o.config.Cell, "task": at.TaskID, "vm": vm, "attempt": at.Attempt})
 		}
 	case r.State == messenger.ReportCompleted && t != nil && !t.Final() && t.Stop != bookkeeper.StopDone &&
 		at.Attempt <= t.Attempt && t.Spec.Service == "":
-		o.doneBefore(s, vm, at)
+		o.completeAfterLoss(s, vm, at)
 	case t != nil && t.State == messenger.TaskHeld && t.Unheard && at.Attempt == t.Attempt:
-		o.heardAfterAll(s, vm, at, r)
-	case o.commits.open[at.TaskID] == 0:
-		// The end is journalled already, or was decided without this report.
+		o.requeueAfterLoss(s, vm, at, r)
+	case o.commits.uncommitted[at.TaskID] == 0:
+		// The end is already journalled, or was decided without this report.
 		o.ack(s, at)
 	}
 }
 
-// doneBefore takes the completion by an attempt that was given up as lost: its
-// VM was away longer than its lease, and had finished the task by then. Run to
-// its end again, the task would print its labels twice.
-func (o *owner) doneBefore(s *session, vm string, at messenger.TaskAttempt) {
+// completeAfterLoss accepts the completion by an attempt that was assumed to be lost: its
+// VM was unreachable for longer than its lease, but had completed the task by then. If the
+// task ran to its end again, it would print its labels twice.
+func (o *owner) completeAfterLoss(s *session, vm string, at messenger.TaskAttempt) {
 	o.decide(bookkeeper.Record{DoneBefore: &bookkeeper.DoneBefore{Task: at.TaskID, Attempt: at.Attempt}}, reporter.TaskCompleted,
-		messenger.Decision{Task: at.TaskID, VM: vm, Reason: "an attempt given up as lost had completed it"}, func() { o.ack(s, at) })
+		messenger.Decision{Task: at.TaskID, VM: vm, Reason: "an attempt that was assumed to be lost had completed it"}, func() { o.ack(s, at) })
 }
 
-// heardAfterAll queues a task again that was held because its VM was lost: the
-// VM is back and tells that the attempt ended before it completed.
-func (o *owner) heardAfterAll(s *session, vm string, at messenger.TaskAttempt, r messenger.TaskReport) {
+// requeueAfterLoss requeues a task that was held because its VM was lost: the VM is back
+// and reports that the attempt ended without completing.
+func (o *owner) requeueAfterLoss(s *session, vm string, at messenger.TaskAttempt, r messenger.TaskReport) {
 	o.decide(bookkeeper.Record{Queued: &bookkeeper.Queued{Task: at.TaskID, Checkpoint: r.Checkpoint}}, reporter.TaskRequeued,
-		messenger.Decision{Task: at.TaskID, VM: vm, Reason: "its VM is back and tells that it did not complete there"}, func() { o.ack(s, at) })
+		messenger.Decision{Task: at.TaskID, VM: vm, Reason: "its VM is back and reports that the task did not complete"}, func() { o.ack(s, at) })
 }
 
-// checkUnheard queues a task again that was held because its VM was lost, if the
-// VM is back and does not know the attempt: its start never arrived. That can be
-// told only of an attempt that was never confirmed, by the agent that ran when
-// the start was decided; a VM that was started anew in between has forgotten what
-// it completed, so there the task stays held. An order that is still on its way
-// answers an earlier poll, which the agent has given up by then.
-func (o *owner) checkUnheard(t *bookkeeper.Task, now time.Time) {
+// requeueIfNeverStarted requeues a task that was held because its VM was lost, if the VM is
+// back and does not list the attempt, because the start order never arrived. This can be
+// concluded only if the attempt was never confirmed and the agent is the one that ran when
+// the start was decided: a VM that was restarted since has no record of the attempts that
+// it completed, so the task stays held there. A start order still in transit is the reply
+// to an earlier poll, which the agent no longer waits for.
+func (o *owner) requeueIfNeverStarted(t *bookkeeper.Task, now time.Time) {
 	s := o.session(t.StartedOn)
 	at := messenger.TaskAttempt{TaskID: t.Spec.ID, Attempt: t.Attempt}
-	known := t.Confirmed || s.incarnation != t.StartedBy || s.lists(at)
-	if known || !s.reachable(now) || !s.lastPoll.After(t.Changed) {
+	mayHaveRun := t.Confirmed || s.incarnation != t.StartedBy || s.hasReport(at)
+	if mayHaveRun || !s.reachable(now) || !s.lastPoll.After(t.Changed) {
 		return
 	}
 	o.decide(bookkeeper.Record{Queued: &bookkeeper.Queued{Task: t.Spec.ID}}, reporter.TaskRequeued,
-		messenger.Decision{Task: t.Spec.ID, VM: t.StartedOn, Reason: "its VM is back and never got the start"}, nil)
+		messenger.Decision{Task: t.Spec.ID, VM: t.StartedOn, Reason: "its VM is back and never received the start order"}, nil)
 }
 
-// ack acknowledges a final report in the next reply. The agent repeats a report
-// until then, so a report whose record was never journalled comes again.
+// ack acknowledges a final report in the next reply. The agent repeats a report until it
+// is acknowledged, so a report whose record was never journalled is received again.
 func (o *owner) ack(s *session, at messenger.TaskAttempt) {
 	s.acked = append(s.acked, at)
-	s.answerNow = true
+	s.replyNow = true
 }
 
-// endAttempt journals the end of an attempt and what becomes of the task.
-func (o *owner) endAttempt(t *bookkeeper.Task, e ending, after func()) {
+// endAttempt journals the end of an attempt and the next state of its task.
+func (o *owner) endAttempt(t *bookkeeper.Task, e attemptEnd, after func()) {
 	ended := bookkeeper.Ended{Task: t.Spec.ID, Attempt: t.Attempt, Reason: e.reason, Checkpoint: e.checkpoint, Next: messenger.TaskQueued}
-	code := o.judgeEnd(t, e, &ended)
+	code := o.evaluateEnd(t, e, &ended)
 	vm, s := t.VM, o.session(t.VM)
-	d := messenger.Decision{Task: t.Spec.ID, VM: vm, Service: t.Spec.Service, Reason: reasonOr(e.reason, string(e.state))}
+	d := messenger.Decision{Task: t.Spec.ID, VM: vm, Service: t.Spec.Service, Reason: orDefault(e.reason, string(e.state))}
 	if !o.decide(bookkeeper.Record{Ended: &ended}, code, d, after) {
 		return
 	}
-	s.closeHistory(t.Spec.ID, o.config.Now())
-	o.meters.ended(ended.Next)
+	s.endPlacement(t.Spec.ID, o.config.Now())
+	o.metrics.countEnded(ended.Next)
 	if ended.Next == messenger.TaskCompleted {
-		o.meters.turnedRound(t.Spec, o.config.Now().Sub(t.Submitted))
+		o.metrics.observeTurnaround(t.Spec, o.config.Now().Sub(t.Submitted))
 	}
 	if ended.Failed {
-		o.suspect(vm)
+		o.quarantineIfFailing(vm)
 	}
 }
 
-func reasonOr(reason, other string) string {
+func orDefault(reason, fallback string) string {
 	if reason == "" {
-		return other
+		return fallback
 	}
 	return reason
 }
 
-// judgeEnd fills in what follows from the way an attempt ended.
-func (o *owner) judgeEnd(t *bookkeeper.Task, e ending, ended *bookkeeper.Ended) reporter.Code {
+// evaluateEnd sets the next state of the task according to how its attempt ended, and
+// returns the event to report.
+func (o *owner) evaluateEnd(t *bookkeeper.Task, e attemptEnd, ended *bookkeeper.Ended) reporter.Code {
 	now := o.config.Now().Round(0).UTC()
 	if e.state == messenger.ReportCompleted && t.Spec.Service == "" {
 		ended.Next = messenger.TaskCompleted
@@ -172,29 +173,29 @@
 		ended.NotBefore = now.Add(refusedBackoff)
 		return reporter.StartRefused
 	case messenger.ReportLost:
-		o.judgeLost(t, e, ended)
+		o.holdIfLost(t, e, ended)
 		return reporter.AttemptLost
 	}
 	ended.Failed = true
-	ended.NotBefore = now.Add(min(firstBackoff<<min(t.Failures, 10), lastBackoff))
+	ended.NotBefore = now.Add(min(minBackoff<<min(t.Failures, 10), maxBackoff))
 	if t.Spec.Service == "" && t.Failures+1 >= o.maxAttempts(t) {
 		ended.Next = messenger.TaskHeld
-		ended.Reason = "failed too often, last on " + t.VM + ": " + reasonOr(e.reason, "no reason given")
+		ended.Reason = fmt.Sprintf("failed %d times, most recently on %s: %s", t.Failures+1, t.VM, orDefault(e.reason, "no reason given"))
 	}
 	return reporter.AttemptFailed
 }
 
-// judgeLost holds a task whose class asks for it. A VM that is lost without a word
-// may have completed the task just before; run again, a label batch would be
-// printed twice, and nobody can tell here. It is queued again, or taken as
-// completed, when the VM comes back and tells.
-func (o *owner) judgeLost(t *bookkeeper.Task, e ending, ended *bookkeeper.Ended) {
+// holdIfLost holds a task of a lost VM if its class requires it. The VM may have completed
+// the task just before it was lost, which the owner can't know; if the task ran again, a
+// batch of labels would be printed twice. The task is requeued or completed when the VM is
+// back and reports its outcome.
+func (o *owner) holdIfLost(t *bookkeeper.Task, e attemptEnd, ended *bookkeeper.Ended) {
 	class, _ := o.fleet.TaskClass(t.Spec.Class)
-	if !e.unheard || !class.HoldWhenLost {
+	if !e.unreported || !class.HoldWhenLost {
 		return
 	}
 	ended.Next, ended.Unheard = messenger.TaskHeld, true
-	ended.Reason = fmt.Sprintf("VM %s was lost and did not tell whether it completed there; it runs again if the VM is back and denies it, else cancel it and submit it anew", t.VM)
+	ended.Reason = fmt.Sprintf("VM %s was lost before it reported whether the task completed; the task runs again if the VM returns and reports that it did not, otherwise cancel it and submit it again", t.VM)
 }
 
 func (o *owner) maxAttempts(t *bookkeeper.Task) int {
--- a/internal/control/controller/restart_test.go
+++ b/internal/control/controller/restart_test.go
@@ -7,11 +7,12 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// The time of day jumps back between two processes of an agent: the second, whose number
-// is lower, is not refused for good, and what the first sent does not count any more.
-func TestAgentRestartedAfterItsClockJumpedBack(t *testing.T) {
-	d := newDesk(t)
-	d.held, d.strained = func() bool { return true }, func() bool { return false }
+// Guards against refusing an agent permanently when the time of day steps back between two
+// incarnations: the second has the lower number. Its polls must be accepted, and delayed
+// polls of the first must not.
+func TestAgentRestartAfterClockStepsBack(t *testing.T) {
+	to := newTestOwner(t)
+	to.held, to.renewalOverdue = func() bool { return true }, func() bool { return false }
 	polls := []struct {
 		name        string
 		incarnation int64
@@ -19,21 +20,21 @@
 		after       time.Duration
 		refused     bool
 	}{
-		{"first process", 9, 5, 0, false},
-		{"held up on its way", 9, 4, 0, true},
-		{"from before the first process, or a lower number", 7, 1, time.Second, true},
-		{"again, the first process being silent", 7, 2, reachableFor, false},
-		{"of the first process, held up", 9, 6, 0, true},
-		{"second process", 7, 3, 0, false},
-		{"third process", 8, 1, 0, false},
-		{"of the second process, held up for long", 7, 4, 2 * reachableFor, true},
+		{"first incarnation", 9, 5, 0, false},
+		{"delayed poll", 9, 4, 0, true},
+		{"lower incarnation while the first one still polls", 7, 1, time.Second, true},
+		{"lower incarnation after the first one has stopped polling", 7, 2, reachableTimeout, false},
+		{"delayed poll of the first incarnation", 9, 6, 0, true},
+		{"second incarnation", 7, 3, 0, false},
+		{"third incarnation", 8, 1, 0, false},
+		{"poll of the second incarnation with a long delay", 7, 4, 2 * reachableTimeout, true},
 	}
 	for _, p := range polls {
-		d.now = d.now.Add(p.after)
-		call := d.call()
-		d.takePoll(call, messenger.Poll{Capacity: messenger.Capacity{VM: "vm"}, Incarnation: p.incarnation, Sequence: p.sequence})
-		if refused := len(call.answer) > 0; refused != p.refused {
-			t.Errorf("%s: refused %t", p.name, refused)
+		to.now = to.now.Add(p.after)
+		call := to.call()
+		to.handlePoll(call, messenger.Poll{Capacity: messenger.Capacity{VM: "vm"}, Incarnation: p.incarnation, Sequence: p.sequence})
+		if refused := len(call.result) > 0; refused != p.refused {
+			t.Errorf("%s: refused %t, want %t", p.name, refused, p.refused)
 		}
 	}
 }
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"slices"
 	"sort"
 	"time"
@@ -11,98 +12,98 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Lengths of sessions.
+// Timing of polls and leases.
 const (
-	maxWait          = time.Second
-	reachableFor     = 2500 * time.Millisecond // without a poll
-	heldShare        = 4                       // a poll is held for at most this part of the lease
-	leaseMarginDiv   = 20                      // clocks run at rates that differ by far less than a twentieth
-	leastLeaseMargin = 250 * time.Millisecond
-	historyFor       = time.Minute
-	newVMPause       = 1500 * time.Millisecond // until the upstreams of a new VM have announced themselves
-	holdGrace        = 10 * time.Second        // of the commitment for an upstream that is not announced any more
+	maxPollWait        = time.Second
+	reachableTimeout   = 2500 * time.Millisecond // since the last poll
+	pollWaitDivisor    = 4                       // a poll waits for at most a quarter of the lease
+	leaseMarginDivisor = 20                      // clock rates differ by far less than a twentieth
+	minLeaseMargin     = 250 * time.Millisecond
+	placementRetention = time.Minute
+	newVMDelay         = 1500 * time.Millisecond // no task starts on a new VM until its upstreams had this time to announce themselves
+	serviceHoldGrace   = 10 * time.Second        // capacity stays committed this long for an upstream that is no longer announced
 )
 
-// session is what the owner knows of a VM in this epoch only.
+// session is the volatile state of a VM, which the owner keeps for one epoch.
 type session struct {
-	contacted   bool // in this epoch
-	incarnation int64
-	replaced    map[int64]bool // incarnations before it
-	sequence    int64
-	epochSeen   bool // the agent has taken a reply of this epoch
-	lastPoll    time.Time
-	listed      map[messenger.TaskAttempt]messenger.TaskReport // every attempt in the latest poll
-	leaseUntil  time.Time                                      // by when every lease granted on the VM has surely run out
-	parked      *parkedPoll
-	answerNow   bool
-	acked       []messenger.TaskAttempt
-	strays      map[messenger.TaskAttempt]bool
-	sent        map[sentOrder]time.Time
-	history     []Placement
-	joined      time.Time            // when the VM was first seen at all, if by this owner
-	fewer       map[string]time.Time // since when a service has had fewer upstreams than committed
-	acted       time.Time            // when a task of the VM was last throttled or moved; reports lag
+	contacted    bool // the agent has polled in this epoch
+	incarnation  int64
+	replaced     map[int64]bool // earlier incarnations of the agent
+	sequence     int64
+	epochAcked   bool // the agent has received a reply of this epoch
+	lastPoll     time.Time
+	reported     map[messenger.TaskAttempt]messenger.TaskReport // all attempts in the latest poll
+	leaseUntil   time.Time                                      // when every lease granted to the VM has certainly expired
+	pending      *pendingPoll
+	replyNow     bool                           // reply to the pending poll even without orders
+	acked        []messenger.TaskAttempt        // ended attempts to acknowledge in the next reply
+	unassigned   map[messenger.TaskAttempt]bool // reported as running, but not assigned to the VM
+	sentOrders   map[sentOrder]time.Time        // when each order was last sent
+	placements   []Placement                    // current and recent ones
+	firstSeen    time.Time                      // when this owner saw the VM for the first time; zero if an earlier owner had seen it
+	fewerSince   map[string]time.Time           // by service, since when it has announced fewer upstreams than committed
+	lastAdjusted time.Time                      // when a task of the VM was last throttled or moved; usage reports lag behind it
 }
 
-// parkedPoll is a poll that waits for orders.
-type parkedPoll struct {
+// pendingPoll is a poll that waits for orders.
+type pendingPoll struct {
 	call  callEvent
 	until time.Time
 }
 
-// sentOrder names an order that was handed out.
+// sentOrder identifies an order that was sent to an agent.
 type sentOrder struct {
 	attempt messenger.TaskAttempt
 	kind    messenger.OrderKind
 	percent int
 }
 
-// leaseEnd returns when a lease granted at a time has surely run out.
+// leaseEnd returns when a lease granted at the given time has certainly expired.
 func (o *owner) leaseEnd(granted time.Time, lease time.Duration) time.Time {
 	if lease <= 0 {
 		return granted
 	}
-	return granted.Add(lease + max(lease/leaseMarginDiv, leastLeaseMargin))
+	return granted.Add(lease + max(lease/leaseMarginDivisor, minLeaseMargin))
 }
 
 func (s *session) reachable(now time.Time) bool {
-	return s.contacted && now.Sub(s.lastPoll) < reachableFor
+	return s.contacted && now.Sub(s.lastPoll) < reachableTimeout
 }
 
-// takePoll takes the reports of a VM's agent and parks the poll until there are
-// orders for it.
-func (o *owner) takePoll(call callEvent, p messenger.Poll) {
+// handlePoll processes the reports of a VM's agent and keeps the poll pending until there
+// are orders for it.
+func (o *owner) handlePoll(call callEvent, p messenger.Poll) {
 	if !o.held() {
-		// Without the ownership surely held no lease may be renewed: a successor
-		// may already count on this epoch's leases running out.
-		call.fail(messenger.CodeNotOwner, "cell %s: ownership can't be renewed", o.config.Cell)
+		// No lease may be renewed unless the ownership is certainly held: a successor may
+		// already rely on the expiry of this epoch's leases.
+		call.fail(messenger.CodeNotOwner, "cell %s: the ownership lease could not be renewed in time", o.config.Cell)
 		return
 	}
 	if p.Epoch > o.epoch {
-		call.fail(messenger.CodeNotOwner, "cell %s: agent has seen epoch %d", o.config.Cell, p.Epoch)
+		call.fail(messenger.CodeNotOwner, "cell %s: the agent has seen epoch %d, this owner has epoch %d", o.config.Cell, p.Epoch, o.epoch)
 		return
 	}
 	s := o.session(p.Capacity.VM)
 	if s.outdated(p, o.config.Now()) {
-		call.fail(messenger.CodeBadRequest, "poll %d of incarnation %d is out of date", p.Sequence, p.Incarnation)
+		call.fail(messenger.CodeBadRequest, "poll %d of incarnation %d is outdated: the latest is poll %d of incarnation %d", p.Sequence, p.Incarnation, s.sequence, s.incarnation)
 		return
 	}
-	o.admitPoll(s, p)
-	o.seeVM(p)
-	o.takeReports(s, p)
-	o.observe(s, p)
-	if s.parked != nil {
-		s.parked.call.fail(messenger.CodeBadRequest, "replaced by a later poll")
+	o.recordContact(s, p)
+	o.recordVM(p)
+	o.applyReports(s, p)
+	o.observeUsage(s, p)
+	if s.pending != nil {
+		s.pending.call.fail(messenger.CodeBadRequest, "replaced by a later poll")
 	}
-	// A lease counts from when its poll was sent, so a poll held long would
-	// leave nothing of it before the next reply.
-	wait := min(messenger.FromMillis(p.WaitMillis), maxWait, o.config.VMLease/heldShare)
-	s.parked = &parkedPoll{call: call, until: call.received.Add(wait)}
+	// The agent counts a lease from when it sent the poll. If a poll were pending for too
+	// long, the lease would expire before the next reply.
+	wait := min(messenger.FromMillis(p.WaitMillis), maxPollWait, o.config.VMLease/pollWaitDivisor)
+	s.pending = &pendingPoll{call: call, until: call.received.Add(wait)}
 }
 
-// outdated tells of a poll that a later one has overtaken. The process with the lower
-// number may be the later one, if the time of day jumped back between the two: it is
-// taken once the other is silent.
+// outdated reports whether a poll arrived after a later one. A process with a lower
+// incarnation may be the later one if the time of day stepped back between the two; its
+// polls are accepted once the other process has stopped polling.
 func (s *session) outdated(p messenger.Poll, now time.Time) bool {
 	if p.Incarnation == s.incarnation {
 		return p.Sequence <= s.sequence
@@ -113,18 +114,18 @@
 func (o *owner) session(vm string) *session {
 	s := o.sessions[vm]
 	if s == nil {
-		s = &session{strays: make(map[messenger.TaskAttempt]bool), sent: make(map[sentOrder]time.Time)}
+		s = &session{unassigned: make(map[messenger.TaskAttempt]bool), sentOrders: make(map[sentOrder]time.Time)}
 		o.sessions[vm] = s
 	}
 	return s
 }
 
-// admitPoll notes the contact. Once the agent carries this epoch it has taken a
-// reply of ours, and what an earlier owner granted it is replaced: only then
-// does the wait for that owner's longer lease end for this VM.
-func (o *owner) admitPoll(s *session, p messenger.Poll) {
+// recordContact updates the session from a poll. Once the agent sends this epoch it has
+// received a reply of this owner, which replaces the lease that an earlier owner granted.
+// Only then does the wait for that owner's longer lease end for this VM.
+func (o *owner) recordContact(s *session, p messenger.Poll) {
 	if p.Incarnation != s.incarnation {
-		clear(s.sent)
+		clear(s.sentOrders)
 		if s.replaced == nil {
 			s.replaced = make(map[int64]bool)
 		}
@@ -135,13 +136,13 @@
 	}
 	s.contacted, s.incarnation, s.sequence = true, p.Incarnation, p.Sequence
 	s.lastPoll = o.config.Now()
-	if p.Epoch == o.epoch && !s.epochSeen {
-		s.epochSeen = true
+	if p.Epoch == o.epoch && !s.epochAcked {
+		s.epochAcked = true
 		s.leaseUntil = o.leaseEnd(s.lastPoll, max(o.config.VMLease, o.grantNow()))
 	}
 }
 
-// grantNow returns the length of the lease that a poll is granted now.
+// grantNow returns the length of the lease that the reply to a poll grants now.
 func (o *owner) grantNow() time.Duration {
 	if o.outage {
 		return max(o.config.OutageLease, o.config.VMLease)
@@ -149,8 +150,8 @@
 	return o.config.VMLease
 }
 
-// seeVM journals what changed about the VM.
-func (o *owner) seeVM(p messenger.Poll) {
+// recordVM journals a new VM or a change of a known one.
+func (o *owner) recordVM(p messenger.Poll) {
 	seen := bookkeeper.VMSeen{
 		Capacity: p.Capacity, AgentID: p.AgentID, Incarnation: p.Incarnation,
 		Services: o.serviceHolds(p.Upstreams), Leaving: p.Leaving,
@@ -158,35 +159,35 @@
 	code, reason := reporter.VMJoined, "first session of agent "+p.AgentID
 	s, v := o.session(p.Capacity.VM), o.books.VM(p.Capacity.VM)
 	if v == nil {
-		s.joined = o.config.Now()
+		s.firstSeen = o.config.Now()
 	} else {
-		seen.Services = s.keepHolds(v.Seen.Services, seen.Services, o.config.Now())
+		seen.Services = s.mergeHolds(v.Seen.Services, seen.Services, o.config.Now())
 		if sameVM(v.Seen, seen) {
 			return
 		}
-		code, reason = reporter.VMChanged, "size, place, agent or upstreams changed"
+		code, reason = reporter.VMChanged, "capacity, location, agent or upstreams changed"
 	}
 	o.decide(bookkeeper.Record{VMSeen: &seen}, code, messenger.Decision{VM: p.Capacity.VM, Reason: reason}, nil)
 }
 
-// keepHolds returns the holds to commit, given the earlier and the announced
-// ones. A restarted agent knows no upstreams until they announce themselves to
-// it again; were their room freed meanwhile, tasks would take it and the VM be
-// overcommitted a second later. So a hold only shrinks once it was smaller for
-// longer than upstreams take to announce themselves.
-func (s *session) keepHolds(earlier, announced []bookkeeper.ServiceHold, now time.Time) []bookkeeper.ServiceHold {
-	if s.fewer == nil {
-		s.fewer = make(map[string]time.Time)
+// mergeHolds returns the capacity to commit for upstreams, given the earlier and the
+// announced holds. A restarted agent knows no upstreams until they announce themselves
+// again. If their capacity were freed meanwhile, tasks would use it and the VM would be
+// overcommitted a second later. A hold therefore shrinks only after fewer upstreams were
+// announced for longer than they take to announce themselves.
+func (s *session) mergeHolds(earlier, announced []bookkeeper.ServiceHold, now time.Time) []bookkeeper.ServiceHold {
+	if s.fewerSince == nil {
+		s.fewerSince = make(map[string]time.Time)
 	}
 	for _, old := range earlier {
 		at := slices.IndexFunc(announced, func(h bookkeeper.ServiceHold) bool { return h.Service == old.Service })
 		if at >= 0 && announced[at].Count >= old.Count {
-			delete(s.fewer, old.Service)
+			delete(s.fewerSince, old.Service)
 			continue
 		}
-		if since, ok := s.fewer[old.Service]; !ok {
-			s.fewer[old.Service] = now
-		} else if now.Sub(since) > holdGrace {
+		if since, ok := s.fewerSince[old.Service]; !ok {
+			s.fewerSince[old.Service] = now
+		} else if now.Sub(since) > serviceHoldGrace {
 			continue
 		}
 		if at >= 0 {
@@ -221,38 +222,40 @@
 	return holds
 }
 
-// checkLeases ends the attempts on VMs whose lease has surely run out. The
-// worker ended them by itself at the latest then, so they may run elsewhere.
+// checkLeases ends the attempts on VMs whose lease has certainly expired. By then the
+// worker itself has ended them, so the tasks may run elsewhere.
 func (o *owner) checkLeases(now time.Time) {
-	waiting := false
+	leasesPending := false
 	for _, name := range o.books.VMs() {
 		s := o.session(name)
-		if !s.epochSeen && now.Before(o.leaseEnd(o.tookOver, o.priorLease)) {
-			waiting = true
+		if !s.epochAcked && now.Before(o.leaseEnd(o.tookOver, o.priorLease)) {
+			leasesPending = true
 		}
 		if now.Before(s.leaseUntil) {
 			continue
 		}
-		o.loseVM(name, s, now)
+		o.expireVM(name, s, now)
 	}
-	if !waiting && !o.settled {
-		o.settled = true
+	if !leasesPending && !o.reconciled {
+		o.reconciled = true
 		o.decide(bookkeeper.Record{Settled: &bookkeeper.LeasesSettled{}}, reporter.LeasesSettled,
-			messenger.Decision{Reason: "every VM has contacted this owner or its lease has run out"}, nil)
+			messenger.Decision{Reason: "every VM has contacted this owner or its lease has expired"}, nil)
 	}
 }
 
-func (o *owner) loseVM(name string, s *session, now time.Time) {
+// expireVM ends the attempts on a VM whose lease has expired, and forgets a VM without
+// tasks after a long time without contact.
+func (o *owner) expireVM(name string, s *session, now time.Time) {
 	tasks := o.books.On(name)
 	if len(tasks) > 0 {
 		o.config.Reporter.Report(reporter.VMLost, reporter.Fields{"cell": o.config.Cell, "vm": name, "tasks": len(tasks)})
 	}
 	for _, t := range tasks {
-		o.endAttempt(t, ending{state: messenger.ReportLost, reason: "lease of VM ran out", unheard: true}, nil)
+		o.endAttempt(t, attemptEnd{state: messenger.ReportLost, reason: "lease of the VM expired", unreported: true}, nil)
 	}
 	if len(tasks) == 0 && now.Sub(s.lastPoll) > forgetVMAfter && now.Sub(o.tookOver) > forgetVMAfter {
 		o.decide(bookkeeper.Record{VMGone: &bookkeeper.VMGone{VM: name}}, reporter.VMGone,
-			messenger.Decision{VM: name, Reason: "away for long"}, nil)
+			messenger.Decision{VM: name, Reason: fmt.Sprintf("no contact for more than %s", forgetVMAfter)}, nil)
 		delete(o.sessions, name)
 	}
 }
--- a/internal/control/controller/submission.go
+++ b/internal/control/controller/submission.go
@@ -19,35 +19,35 @@
 	replicaPrefix   = "replica-"
 )
 
-// takeSubmit journals tasks and answers when that is done. The same id with the
-// same content is accepted again, since the answer to the first may be lost.
-func (o *owner) takeSubmit(call callEvent, r messenger.SubmitRequest) {
-	if o.slow() {
-		call.fail(messenger.CodeUnavailable, "cell %s: the store does not take the journal now", o.config.Cell)
+// handleSubmit accepts tasks and replies once they are journalled. The same id with the
+// same content is accepted again, because the reply to the first call may have been lost.
+func (o *owner) handleSubmit(call callEvent, r messenger.SubmitRequest) {
+	if o.appendSlow() {
+		call.fail(messenger.CodeUnavailable, "cell %s: a journal append takes longer than %s", o.config.Cell, slowAppendThreshold)
 		return
 	}
-	if o.contact.began.Before(call.received) && o.namesUnknown(r) {
-		o.doubtful = append(o.doubtful, doubtfulSubmit{call, r})
+	if o.contact.began.Before(call.received) && o.hasUnknownNames(r) {
+		o.deferred = append(o.deferred, deferredSubmit{call, r})
 		return
 	}
 	reply := messenger.SubmitReply{Verdicts: make([]messenger.SubmitVerdict, len(r.Tasks))}
-	wait := o.newWait(func() { call.succeed(reply) })
+	wait := o.newCommitWait(func() { call.succeed(reply) })
 	for i, spec := range r.Tasks {
 		reply.Verdicts[i] = o.submit(spec, wait)
 	}
-	wait.start()
+	wait.done()
 }
 
-// doubtfulSubmit is a submission that names a tenant or class which the owner's
-// fleet does not have. The owner may hold an older fleet than the one that the
-// submitter has just seen accepted, and a refusal is final; so the submission
-// waits for a store contact that began after it came.
-type doubtfulSubmit struct {
+// deferredSubmit is a submission that names a tenant or class that is not in the owner's
+// fleet. The owner may have an older fleet than the one that the submitter has just seen
+// accepted, and a rejection is final. The submission therefore waits for a store contact
+// that began after it was received.
+type deferredSubmit struct {
 	call    callEvent
 	request messenger.SubmitRequest
 }
 
-func (o *owner) namesUnknown(r messenger.SubmitRequest) bool {
+func (o *owner) hasUnknownNames(r messenger.SubmitRequest) bool {
 	for _, spec := range r.Tasks {
 		_, tenant := o.fleet.Tenant(spec.Tenant)
 		_, class := o.fleet.TaskClass(spec.Class)
@@ -58,20 +58,21 @@
 	return false
 }
 
-// retryDoubtful takes the submissions again that waited for a store contact.
-func (o *owner) retryDoubtful(reached bool) {
-	waiting := o.doubtful
-	o.doubtful = nil
+// retryDeferred handles the submissions that waited for a store contact. They fail if the
+// store was not reached.
+func (o *owner) retryDeferred(reached bool) {
+	waiting := o.deferred
+	o.deferred = nil
 	for _, d := range waiting {
 		if reached {
-			o.takeSubmit(d.call, d.request)
+			o.handleSubmit(d.call, d.request)
 		} else {
-			d.call.fail(messenger.CodeUnavailable, "cell %s: a task names a tenant or class that is not known here, and the store can't be asked now", o.config.Cell)
+			d.call.fail(messenger.CodeUnavailable, "cell %s: a task names an unknown tenant or class, and the store is unavailable", o.config.Cell)
 		}
 	}
 }
 
-func (o *owner) submit(spec messenger.TaskSpec, wait *wait) messenger.SubmitVerdict {
+func (o *owner) submit(spec messenger.TaskSpec, wait *commitWait) messenger.SubmitVerdict {
 	v := messenger.SubmitVerdict{ID: spec.ID}
 	digest, err := digestOf(spec)
 	if err != nil {
@@ -80,24 +81,24 @@
 	}
 	if t := o.books.Task(spec.ID); t != nil {
 		if t.Digest != digest {
-			v.Reason = "another task has this id"
+			v.Reason = "another task with different content has this id"
 			return v
 		}
 		v.Accepted, v.State, v.Reason = true, t.State, t.Reason
-		if o.commits.open[spec.ID] > 0 { // accepted by a call that is not answered yet
+		if o.commits.uncommitted[spec.ID] > 0 { // accepted, but not journalled yet
 			o.onCommit(wait.add())
 		}
 		return v
 	}
-	if v.Reason = o.refusal(spec); v.Reason != "" {
+	if v.Reason = o.rejectReason(spec); v.Reason != "" {
 		return v
 	}
-	spec = o.complete(spec)
-	o.meters.submitted.Inc()
+	spec = o.applyClassDefaults(spec)
+	o.metrics.submitted.Inc()
 	o.decide(bookkeeper.Record{Submitted: &bookkeeper.Submitted{Spec: spec, Digest: digest}}, reporter.TaskSubmitted,
 		messenger.Decision{Task: spec.ID, Service: spec.Service, Reason: "submitted by tenant " + spec.Tenant}, wait.add())
 	v.Accepted, v.State = true, messenger.TaskQueued
-	if reason := o.impossible(spec); reason != "" {
+	if reason := o.impossibleReason(spec); reason != "" {
 		o.hold(spec.ID, reason, true, wait.add())
 		v.State, v.Reason = messenger.TaskHeld, reason
 	}
@@ -114,18 +115,18 @@
 	return hex.EncodeToString(sum[:16]), nil
 }
 
-// refusal tells why a task is not accepted at all.
-func (o *owner) refusal(spec messenger.TaskSpec) string {
+// rejectReason returns why a task is rejected, or an empty string.
+func (o *owner) rejectReason(spec messenger.TaskSpec) string {
 	n := spec.Needs
 	switch {
 	case spec.ID == "" || len(spec.ID) > maxIDBytes:
-		return fmt.Sprintf("the id must have 1 to %d bytes", maxIDBytes)
+		return fmt.Sprintf("the id has %d bytes, want 1 to %d", len(spec.ID), maxIDBytes)
 	case spec.Service != "":
 		return "replicas of services are started by the scheduler"
 	case len(spec.ID) >= len(replicaPrefix) && spec.ID[:len(replicaPrefix)] == replicaPrefix:
-		return "ids that begin with " + replicaPrefix + " are kept for replicas"
+		return "ids that begin with " + replicaPrefix + " are reserved for replicas"
 	case len(spec.Payload) > maxPayloadBytes:
-		return fmt.Sprintf("the payload has more than %d bytes", maxPayloadBytes)
+		return fmt.Sprintf("the payload has %d bytes, more than the limit of %d", len(spec.Payload), maxPayloadBytes)
 	case n.Millicores < 0 || n.MemoryBytes < 0 || n.Accelerators < 0 || spec.RunTimeMillis < 0:
 		return "needs and run time can't be negative"
 	}
@@ -138,8 +139,8 @@
 	return ""
 }
 
-// complete fills in what the submitter left to the class.
-func (o *owner) complete(spec messenger.TaskSpec) messenger.TaskSpec {
+// applyClassDefaults fills in the values that the submitter left to the task class.
+func (o *owner) applyClassDefaults(spec messenger.TaskSpec) messenger.TaskSpec {
 	class, ok := o.fleet.TaskClass(spec.Class)
 	if !ok {
 		return spec
@@ -154,9 +155,9 @@
 	return spec
 }
 
-// impossible tells why a task can't run on the fleet as it is, however long it
-// waits. Before the first VM is known nothing is said about sizes.
-func (o *owner) impossible(spec messenger.TaskSpec) string {
+// impossibleReason returns why a task can never run on the current fleet, or an empty
+// string. Sizes are not checked before the first VM is known.
+func (o *owner) impossibleReason(spec messenger.TaskSpec) string {
 	if t, ok := o.fleet.Tenant(spec.Tenant); ok {
 		q, n := t.Quota, spec.Needs
 		if q.Millicores > 0 && n.Millicores > q.Millicores || q.MemoryBytes > 0 && n.MemoryBytes > q.MemoryBytes ||
@@ -173,40 +174,41 @@
 	if len(vms) == 0 {
 		return ""
 	}
-	return "needs more than any VM has"
+	return "needs more resources than any VM has"
 }
 
+// hold journals that a queued task is held.
 func (o *owner) hold(id, reason string, impossible bool, after func()) {
 	o.decide(bookkeeper.Record{Held: &bookkeeper.Held{Task: id, Reason: reason, Impossible: impossible}}, reporter.TaskHeld,
 		messenger.Decision{Task: id, Reason: reason}, after)
 }
 
-// checkHeld queues tasks again whose reason to be held has gone.
+// checkHeld requeues the tasks whose reason to be held no longer applies.
 func (o *owner) checkHeld() {
 	if o.books.Count(messenger.TaskHeld) == 0 {
 		return
 	}
 	for _, t := range o.books.Tasks() {
 		if t.State == messenger.TaskHeld && t.Unheard {
-			o.checkUnheard(t, o.config.Now())
+			o.requeueIfNeverStarted(t, o.config.Now())
 			continue
 		}
-		if t.State == messenger.TaskHeld && t.Impossible && o.impossible(t.Spec) == "" {
+		if t.State == messenger.TaskHeld && t.Impossible && o.impossibleReason(t.Spec) == "" {
 			o.decide(bookkeeper.Record{Queued: &bookkeeper.Queued{Task: t.Spec.ID}}, reporter.TaskRequeued,
 				messenger.Decision{Task: t.Spec.ID, Reason: "fleet or VMs changed"}, nil)
 		}
 	}
 }
 
-// takeCancel cancels tasks, thousands at once if asked. Those that hold nothing
-// end now, the others when their agent has stopped them.
-func (o *owner) takeCancel(call callEvent, r messenger.CancelRequest) {
-	if o.slow() {
-		call.fail(messenger.CodeUnavailable, "cell %s: the store does not take the journal now", o.config.Cell)
+// handleCancel cancels tasks by id, tenant or class, possibly thousands at once. Tasks that
+// hold no resources end now, the others when their agent has stopped them.
+func (o *owner) handleCancel(call callEvent, r messenger.CancelRequest) {
+	if o.appendSlow() {
+		call.fail(messenger.CodeUnavailable, "cell %s: a journal append takes longer than %s", o.config.Cell, slowAppendThreshold)
 		return
 	}
 	var reply messenger.CancelReply
-	wait := o.newWait(func() { call.succeed(reply) })
+	wait := o.newCommitWait(func() { call.succeed(reply) })
 	for _, id := range r.IDs {
 		t := o.books.Task(id)
 		if t == nil {
@@ -222,16 +224,16 @@
 			}
 		}
 	}
-	wait.start()
+	wait.done()
 }
 
-func (o *owner) cancel(t *bookkeeper.Task, reason string, wait *wait) int {
+func (o *owner) cancel(t *bookkeeper.Task, reason string, wait *commitWait) int {
 	d := messenger.Decision{Task: t.Spec.ID, VM: t.VM, Service: t.Spec.Service, Reason: reason}
 	switch {
 	case t.State == messenger.TaskCompleted:
 		return 0
 	case t.State == messenger.TaskCancelled || t.Stop == bookkeeper.StopCancel:
-		if o.commits.open[t.Spec.ID] > 0 {
+		if o.commits.uncommitted[t.Spec.ID] > 0 {
 			o.onCommit(wait.add())
 		}
 		return 1
@@ -244,41 +246,44 @@
 	return 1
 }
 
-// wait runs a function once several records are journalled.
-type wait struct {
-	left int
-	done func()
+// commitWait calls onDone once several records are journalled.
+type commitWait struct {
+	pending int
+	onDone  func()
 }
 
-// newWait returns a wait that starts with one hold, which start lets go.
-func (o *owner) newWait(done func()) *wait { return &wait{left: 1, done: done} }
+// newCommitWait returns a commitWait with a count of one, which the caller releases by done.
+func (o *owner) newCommitWait(onDone func()) *commitWait {
+	return &commitWait{pending: 1, onDone: onDone}
+}
 
-func (w *wait) add() func() {
-	w.left++
-	return w.start
+// add increments the count and returns the function that decrements it.
+func (w *commitWait) add() func() {
+	w.pending++
+	return w.done
 }
 
-func (w *wait) start() {
-	if w.left--; w.left == 0 {
-		w.done()
+func (w *commitWait) done() {
+	if w.pending--; w.pending == 0 {
+		w.onDone()
 	}
 }
 
-// onCommit runs after when all that is decided so far is journalled.
+// onCommit calls after once all decisions so far are journalled.
 func (o *owner) onCommit(after func()) {
-	w := &o.commits.waiting
-	if n := len(w.after); n > 0 {
-		w.after[n-1] = both(w.after[n-1], after)
+	p := &o.commits.pending
+	if n := len(p.callbacks); n > 0 {
+		p.callbacks[n-1] = chain(p.callbacks[n-1], after)
 		return
 	}
 	if !o.commits.appending {
 		after()
 		return
 	}
-	o.commits.settled = append(o.commits.settled, after)
+	o.commits.afterAppend = append(o.commits.afterAppend, after)
 }
 
-func both(a, b func()) func() {
+func chain(a, b func()) func() {
 	return func() {
 		if a != nil {
 			a()
--- a/internal/control/controller/zone.go
+++ b/internal/control/controller/zone.go
@@ -14,18 +14,18 @@
 // Budget of planned evictions.
 const (
 	defaultEvictionsPerMinute = 60
-	burstShare                = 6 // this part of a minute's budget may be spent at once
-	forgetReturnAfter         = 10 * time.Minute
+	burstDivisor              = 6 // a sixth of a minute's budget may be used at once
+	zoneReturnRetention       = 10 * time.Minute
 )
 
-// budget is a token bucket. Its field full tells when it was or will be full.
-type budget struct {
+// tokenBucket limits the rate of planned evictions.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-func (b *budget) refill(now time.Time, perMinute float64) {
-	limit := max(1, perMinute/burstShare)
+func (b *tokenBucket) refill(now time.Time, perMinute float64) {
+	limit := max(1, perMinute/burstDivisor)
 	if b.at.IsZero() {
 		b.tokens = limit
 	} else {
@@ -34,12 +34,12 @@
 	b.at = now
 }
 
-func (b *budget) left(now time.Time, perMinute float64) int {
+func (b *tokenBucket) left(now time.Time, perMinute float64) int {
 	b.refill(now, perMinute)
 	return int(b.tokens)
 }
 
-func (b *budget) take(now time.Time, perMinute float64) bool {
+func (b *tokenBucket) take(now time.Time, perMinute float64) bool {
 	if b.left(now, perMinute) < 1 {
 		return false
 	}
@@ -54,12 +54,12 @@
 	return defaultEvictionsPerMinute
 }
 
-// checkZones withdraws starts in zones that were taken out. What runs there is
-// moved by the placer's rounds, within the eviction budget.
+// checkZones withdraws starts in zones that were taken out. Running tasks there are moved
+// by the placement rounds, within the eviction budget.
 func (o *owner) checkZones(now time.Time) {
-	for zone, at := range o.returned {
-		if now.Sub(at) > forgetReturnAfter {
-			delete(o.returned, zone)
+	for zone, at := range o.zoneReturnedAt {
+		if now.Sub(at) > zoneReturnRetention {
+			delete(o.zoneReturnedAt, zone)
 		}
 	}
 	if o.fleet.Version() > 0 {
@@ -67,10 +67,10 @@
 	}
 }
 
-// checkReplicas keeps the wanted number of replicas of each service. Replicas in
-// a zone that was taken out go only once as many run elsewhere.
+// checkReplicas maintains the configured number of replicas of each service. Replicas in a
+// zone that was taken out are stopped only once as many run elsewhere.
 func (o *owner) checkReplicas() {
-	if o.fleet.Version() == 0 || o.slow() {
+	if o.fleet.Version() == 0 || o.appendSlow() {
 		return
 	}
 	byService := make(map[string][]*bookkeeper.Task)
@@ -80,17 +80,17 @@
 		}
 	}
 	for _, service := range o.fleet.Services() {
-		o.keepReplicas(service, byService[service.Name])
+		o.reconcileReplicas(service, byService[service.Name])
 		delete(byService, service.Name)
 	}
-	for _, left := range byService {
-		for _, t := range left {
-			o.cancel(t, "the service is gone or keeps no replicas", o.newWait(func() {}))
+	for _, remaining := range byService {
+		for _, t := range remaining {
+			o.cancel(t, "the service was removed from the fleet text", o.newCommitWait(func() {}))
 		}
 	}
 }
 
-func (o *owner) keepReplicas(service describer.Service, have []*bookkeeper.Task) {
+func (o *owner) reconcileReplicas(service describer.Service, have []*bookkeeper.Task) {
 	var leaving, staying []*bookkeeper.Task
 	running := 0
 	for _, t := range have {
@@ -106,16 +106,16 @@
 	for n := len(staying); n < service.Replicas; n++ {
 		o.addReplica(service)
 	}
-	// Surplus: first those that do not run yet, and of the others the latest.
+	// Cancel surplus replicas: first those that do not run yet, then the latest.
 	slices.SortStableFunc(staying, func(a, b *bookkeeper.Task) int { return startRank(a) - startRank(b) })
 	for len(staying) > service.Replicas {
 		last := staying[len(staying)-1]
 		staying = staying[:len(staying)-1]
-		o.cancel(last, "more replicas than wanted", o.newWait(func() {}))
+		o.cancel(last, "more replicas than configured", o.newCommitWait(func() {}))
 	}
-	// Each replica that runs elsewhere beyond those lost lets one go.
+	// Stop the leaving replicas only while the configured number keeps running without them.
 	for n := 0; n < len(leaving) && running+len(leaving)-n > service.Replicas; n++ {
-		o.cancel(leaving[n], "replaced, its zone was taken out", o.newWait(func() {}))
+		o.cancel(leaving[n], "replaced, its zone was taken out", o.newCommitWait(func() {}))
 	}
 }
 
@@ -136,6 +136,6 @@
 	}
 	spec := messenger.TaskSpec{ID: id, Tenant: service.Tenant, Service: service.Name, Needs: service.Needs, Urgent: true}
 	o.decide(bookkeeper.Record{Submitted: &bookkeeper.Submitted{Spec: spec}}, reporter.TaskSubmitted,
-		messenger.Decision{Task: id, Service: service.Name, Reason: fmt.Sprintf("the service keeps %d replicas", service.Replicas)}, nil)
+		messenger.Decision{Task: id, Service: service.Name, Reason: fmt.Sprintf("the service is configured with %d replicas", service.Replicas)}, nil)
 	o.urgent = true
 }
