--- a/internal/control/controller/bench_test.go
+++ b/internal/control/controller/bench_test.go
@@ -46,7 +46,7 @@
 }
 
 // BenchmarkStoreCalls counts the store calls per started task, with and without group
-// commit, at a store that replies within 5 ms.
+// commit, at a store that takes 5 ms to reply.
 func BenchmarkStoreCalls(b *testing.B) {
 	const tasks = 600
 	for _, limit := range []int{0, 1} {
@@ -150,9 +150,9 @@
 	return records
 }
 
-// BenchmarkStoreOutage stops the store for 6 s instead of a minute, under three lease
-// policies for an outage, whose leases are a tenth of their real length as well: the longer
-// lease of 18 s; the short lease also in the outage, with which tasks stop; and an
+// BenchmarkStoreOutage makes the store unavailable for 6 s, a tenth of a minute, under three
+// lease policies for an outage, whose leases are a tenth of their real length as well: the
+// longer lease of 18 s; the short lease also in the outage, with which tasks stop; and an
 // unlimited lease, with which nothing restarts. One VM is lost permanently during the
 // outage. The benchmark reports the work lost on the other VMs, in task seconds, and the
 // time from the end of the outage until the lost VM's tasks run again (60 s: not within the
--- a/internal/control/controller/cell_test.go
+++ b/internal/control/controller/cell_test.go
@@ -94,7 +94,8 @@
 	server := httptest.NewServer(w.Handler())
 	c.t.Cleanup(server.Close)
 	c.workers = append(c.workers, w)
-	run(func(ctx context.Context) error { // the worker advances its tasks when it is called
+	// Calls advance the worker's tasks here, because its own loop does not run.
+	run(func(ctx context.Context) error {
 		d := driver.New(driver.Config{URL: server.URL})
 		for ctx.Err() == nil {
 			_, _ = d.FindTasks(ctx)
--- a/internal/control/controller/claim.go
+++ b/internal/control/controller/claim.go
@@ -49,7 +49,8 @@
 		case c.State == messenger.ClaimGranted && c.RequestID != r.RequestID:
 			reply.State = messenger.ClaimHeld
 		}
-		// The state may include records that are not journalled yet.
+		// A reply may only contain what is journalled, and the state may include records
+		// that are not journalled yet.
 		o.onCommit(func() { call.succeed(reply) })
 		return
 	}
@@ -58,7 +59,7 @@
 		return
 	}
 	if o.appendSlow() || o.books.CountClaims() >= maxClaims {
-		call.fail(messenger.CodeUnavailable, "cell %s accepts no claims now: the journal is slow, or it has reached the limit of %d claims", o.config.Cell, maxClaims)
+		call.fail(messenger.CodeUnavailable, "cell %s accepts no claims now: the journal is slow, or the limit of %d claims is reached", o.config.Cell, maxClaims)
 		return
 	}
 	claimed := bookkeeper.Claimed{Tenant: r.Tenant, Key: r.Key, Service: r.Service, Digest: r.Digest, RequestID: r.RequestID}
--- a/internal/control/controller/claim_test.go
+++ b/internal/control/controller/claim_test.go
@@ -6,7 +6,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Guards against a claim that nobody holds: a claim is delayed, its sender gives up and
+// Guards against a claim without a holder: a claim is delayed, its sender abandons it and
 // reports the request as not run, and the claim arrives after that. If it were granted, all
 // later requests with the key would be refused.
 func TestLateClaimOfEndedRequest(t *testing.T) {
--- a/internal/control/controller/commit.go
+++ b/internal/control/controller/commit.go
@@ -17,9 +17,8 @@
 const (
 	slowAppendThreshold = time.Second
 	// minAppendInterval is the minimum time between the starts of two appends. Otherwise
-	// a store that replies within half a millisecond would get an entry for nearly every
-	// decision, and the number of its writes matters. A single decision is still appended
-	// at once.
+	// a store that replies in half a millisecond would get an entry for nearly every
+	// decision, and store writes are counted. A single decision is still appended at once.
 	minAppendInterval = 10 * time.Millisecond
 	snapshotTimeout   = time.Minute
 )
@@ -129,8 +128,8 @@
 	return g
 }
 
-// completeAppend runs the callbacks of a journalled group. It returns the error of a
-// failed append, which ends the epoch.
+// completeAppend runs the callbacks of a journalled group and starts a snapshot if one is
+// due. It returns the error of a failed append, which ends the epoch.
 func (o *owner) completeAppend(ctx context.Context, e appendEvent) error {
 	o.commits.appending = false
 	o.metrics.append.Update(o.config.Now().Sub(o.commits.appendBegan).Seconds())
--- a/internal/control/controller/commit_test.go
+++ b/internal/control/controller/commit_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against one store write per claim when keyed requests come one after the other,
-// each waiting for its claim, and the store replies in less than a millisecond: the number
-// of store writes matters, and tasks of other tenants need them.
+// each waiting for its claim, and the store replies in less than a millisecond: store
+// writes are counted, and tasks of other tenants need them.
 func TestAppendRateIsBounded(t *testing.T) {
 	const clients, each = 8, 25
 	c := newCell(t, 1, 1)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -219,7 +219,7 @@
 		}
 		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: ownership ended during the call: repeat it with the same id", c.config.Cell)
 	case <-limit.C:
-		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: no result within %s: repeat the call with the same id", c.config.Cell, resultTimeout)
+		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: no result within %s, the store may be slow: repeat the call with the same id", c.config.Cell, resultTimeout)
 	case <-ctx.Done():
 		return nil, connector.Errorf(messenger.CodeUnknown, "cell %s: the call was cancelled before its result was known", c.config.Cell)
 	}
--- a/internal/control/controller/lost_test.go
+++ b/internal/control/controller/lost_test.go
@@ -12,9 +12,9 @@
 
 // TestLostTaskIsHeld disconnects the agent of one of two VMs while print tasks run there.
 // Some complete before the lease expires, others would take longer. The owner gets no
-// reports and gives up the attempts. It can't know which tasks have completed, so it holds
-// them. When the VM is back, the completed tasks must be accepted as completed and not run
-// again, and the others must resume.
+// reports and gives up the attempts. It can't determine which tasks have completed, so it
+// holds them. When the VM is back, the completed tasks must be accepted as completed and
+// not run again, and the others must resume.
 func TestLostTaskIsHeld(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.waitFor("VMs known", func() bool { return len(c.status().VMs) == 2 })
--- a/internal/control/controller/order.go
+++ b/internal/control/controller/order.go
@@ -94,9 +94,9 @@
 	return v != nil && o.fleet.ZoneIsOut(v.Seen.Capacity.Zone)
 }
 
-// withdraw journals that a start is withdrawn. The order may already be in transit, so the task is queued
-// again only when the agent has refused or stopped the attempt, for which it keeps a
-// tombstone, or when the lease of the VM has expired.
+// withdraw journals that a start is withdrawn. The order may already be in transit, so the
+// task is queued again only when the agent has refused or stopped the attempt, for which it
+// keeps a tombstone, or when the lease of the VM has expired.
 func (o *owner) withdraw(t *bookkeeper.Task, reason string) {
 	d := messenger.Decision{Task: t.Spec.ID, VM: t.VM, Reason: reason}
 	stopping := bookkeeper.Stopping{Task: t.Spec.ID, Attempt: t.Attempt, Kind: bookkeeper.StopAbort}
--- a/internal/control/controller/orders_test.go
+++ b/internal/control/controller/orders_test.go
@@ -42,7 +42,7 @@
 }
 
 // A poll overrides the recorded state: an attempt that it does not list has ended, an attempt
-// that the owner does not know is ordered to stop until the poll no longer lists it, and a
+// that is not assigned to the VM is ordered to stop until the poll no longer lists it, and a
 // reported end is acknowledged each time.
 func TestPollOverridesRecordedState(t *testing.T) {
 	to := newTestOwner(t)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A restarted agent knows no upstreams at first: their capacity must stay committed, and be
+// A restarted agent has no upstreams at first: their capacity must stay committed, and be
 // freed once they were not announced for longer than serviceHoldGrace.
 func TestCapacityIsKeptForUnannouncedUpstreams(t *testing.T) {
 	to := newTestOwner(t)
--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -300,8 +300,9 @@
 	o.fleet, o.dirty = f, true
 }
 
-// checkOutage detects the start and the end of a store outage. It replies to pending polls
-// at once, so that agents get the changed lease before their current one expires.
+// checkOutage detects the start and the end of a store outage from the lease renewals of
+// this process. It replies to pending polls at once, so that agents get the changed lease
+// before their current one expires.
 func (o *owner) checkOutage() {
 	overdue := o.renewalOverdue()
 	if overdue == o.outage {
--- a/internal/control/controller/owner_test.go
+++ b/internal/control/controller/owner_test.go
@@ -62,7 +62,7 @@
 	return orders
 }
 
-// Guards against a task that stays at the wrong pace because an order to throttle it, or to
+// Guards against a task that stays at the wrong speed because an order to throttle it, or to
 // end the throttling, was lost with a reply that the agent no longer waited for.
 func TestThrottleIsRepeatedUntilReported(t *testing.T) {
 	to := newTestOwner(t)
--- a/internal/control/controller/planning.go
+++ b/internal/control/controller/planning.go
@@ -123,7 +123,7 @@
 				class, _ := o.fleet.TaskClass(t.Spec.Class)
 				if t.Spec.Service == "" && t.State != messenger.TaskStopping && class.Checkpoint == checkpoint {
 					committed = committed.Sub(t.Spec.Needs)
-					o.move(t, "an upstream needs its capacity", map[string]string{"vm": vm})
+					o.move(t, "an upstream needs the capacity", map[string]string{"vm": vm})
 				}
 			}
 		}
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -186,9 +186,9 @@
 }
 
 // holdIfLost holds a task of a lost VM if its class requires it. The VM may have completed
-// the task just before it was lost, which the owner can't know; if the task ran again, a
-// batch of labels would be printed twice. The task is requeued or completed when the VM is
-// back and reports its outcome.
+// the task just before it was lost, which the owner can't determine; if the task ran again,
+// a batch of labels would be printed twice. The task is requeued or completed when the VM
+// is back and reports its outcome.
 func (o *owner) holdIfLost(t *bookkeeper.Task, e attemptEnd, ended *bookkeeper.Ended) {
 	class, _ := o.fleet.TaskClass(t.Spec.Class)
 	if !e.unreported || !class.HoldWhenLost {
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -171,7 +171,7 @@
 }
 
 // mergeHolds returns the capacity to commit for upstreams, given the earlier and the
-// announced holds. A restarted agent knows no upstreams until they announce themselves
+// announced holds. A restarted agent has no upstreams until they announce themselves
 // again. If their capacity were freed meanwhile, tasks would use it and the VM would be
 // overcommitted a second later. A hold therefore shrinks only after fewer upstreams were
 // announced for longer than they take to announce themselves.
--- a/internal/control/controller/submission.go
+++ b/internal/control/controller/submission.go
@@ -67,7 +67,7 @@
 		if reached {
 			o.handleSubmit(d.call, d.request)
 		} else {
-			d.call.fail(messenger.CodeUnavailable, "cell %s: a task names an unknown tenant or class, and the store is unavailable", o.config.Cell)
+			d.call.fail(messenger.CodeUnavailable, "cell %s: a task names a tenant or class that is not in the known fleet, and the store is unavailable", o.config.Cell)
 		}
 	}
 }
--- a/internal/control/controller/zone.go
+++ b/internal/control/controller/zone.go
@@ -113,7 +113,8 @@
 		staying = staying[:len(staying)-1]
 		o.cancel(last, "more replicas than configured", o.newCommitWait(func() {}))
 	}
-	// Stop the leaving replicas only while the configured number keeps running without them.
+	// Stop a leaving replica only if the running replicas elsewhere and the other leaving
+	// ones still make up the configured number.
 	for n := 0; n < len(leaving) && running+len(leaving)-n > service.Replicas; n++ {
 		o.cancel(leaving[n], "replaced, its zone was taken out", o.newCommitWait(func() {}))
 	}
--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -26,7 +26,7 @@
 	renewalsPerLease    = 6
 	overdueLeaseDivisor = 3 // no renewal for a third of the lease counts as a store outage
 	// takeoverCalls is the number of store calls that another process may need to detect
-	// a vacancy and acquire the cell.
+	// a vacancy and acquire the cell, each as long as the last read of the owner's record.
 	takeoverCalls = 6
 )
 
@@ -171,7 +171,7 @@
 		return false, err
 	}
 	rev, err := e.config.CompareAndSwap(ctx, keeper.SwapOptions{Key: e.key(), Value: value, ExpectRevision: record.Revision, Lease: lease.ID})
-	if keeper.IsErrOutcomeUnknown(err) { // read back to resolve the outcome
+	if keeper.IsErrOutcomeUnknown(err) { // the reply was lost: read back to resolve the outcome
 		record, readErr := e.config.GetRecord(ctx, e.key())
 		if readErr == nil && record.Lease == lease.ID {
 			rev, err = record.Revision, nil
@@ -253,8 +253,8 @@
 }
 
 // findOwner reads the owner's record, with revision 0 if there is none, and the store's
-// current revision. A watch has to start at the current revision: the store discards its
-// history up to the revision at which a long ownership began.
+// current revision. A watch has to start at the current revision and not at the record's:
+// the store may already have discarded the revision at which a long ownership began.
 func (e *Elector) findOwner(ctx context.Context) (keeper.Record, int64, error) {
 	found, err := e.config.FindRecords(ctx, keeper.ListOptions{Prefix: e.key(), Limit: 1})
 	if err != nil {
--- a/internal/control/elector/elector_test.go
+++ b/internal/control/elector/elector_test.go
@@ -110,7 +110,7 @@
 	}{
 		{"no reply", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 			err := pauser.Pause(ctx, o.Wait+time.Second)
-			return keeper.WatchResult{}, errors.Join(err, keeper.ErrUnavailable{Cause: errors.New("no answer")})
+			return keeper.WatchResult{}, errors.Join(err, keeper.ErrUnavailable{Cause: errors.New("no reply")})
 		}},
 		{"no changes", func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 			return keeper.WatchResult{Revision: o.After}, pauser.Pause(ctx, o.Wait)
--- a/internal/control/journaler/journaler.go
+++ b/internal/control/journaler/journaler.go
@@ -22,7 +22,7 @@
 	maxRetryInterval     = 500 * time.Millisecond
 	MaxEntryBytes        = 768 << 10 // total size of the records of one entry
 	chunkBytes           = 768 << 10 // stays below the store's size limit when encoded as base64 in JSON
-	maxTries             = 20
+	maxTries             = 20        // of opening the journal, and of setting the snapshot head
 	defaultSnapshotEvery = 500
 )
 
--- a/internal/control/journaler/journaler_test.go
+++ b/internal/control/journaler/journaler_test.go
@@ -75,9 +75,10 @@
 }
 
 // TestTwoOwnersNeverBothCommit interleaves three owners at every store call, with refused
-// calls and lost replies: an owner continues while another one takes the cell over,
-// appends, takes snapshots and deletes entries. Each record whose append succeeded must be
-// in the history exactly once, and an epoch must contain entries of its own owner only.
+// calls and lost replies: an owner that has not detected the loss of the cell continues while
+// another one takes the cell over, appends, takes snapshots and deletes entries. Each record
+// whose append succeeded must be in the history exactly once, and an epoch must contain
+// entries of its own owner only.
 func TestTwoOwnersNeverBothCommit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMemory()
@@ -127,7 +128,7 @@
 		}
 	}
 	for n := 0; n < 300 && len(active) > 0; n++ {
-		a := active[rapid.IntRange(0, len(active)-1).Draw(rt, "who")]
+		a := active[rapid.IntRange(0, len(active)-1).Draw(rt, "actor")]
 		f := noFault
 		if rapid.IntRange(0, 5).Draw(rt, "faulty") == 0 {
 			f = fault(rapid.IntRange(1, 2).Draw(rt, "fault"))
--- a/internal/control/journaler/snapshot.go
+++ b/internal/control/journaler/snapshot.go
@@ -212,7 +212,8 @@
 }
 
 // requeue puts back an entry that the snapshot does not cover. The order of the queue does
-// not matter, since each entry is compared with the snapshot's sequence number.
+// not matter, since each entry is compared with the snapshot's sequence number and
+// SnapshotDue uses only the number of entries.
 func (j *Journaler) requeue(r entryRef) {
 	select {
 	case j.unsnapshotted <- r:
