--- a/internal/fleet/differ/differ.go
+++ b/internal/fleet/differ/differ.go
@@ -1,6 +1,6 @@
-// Package differ tells in which items and fields two fleets differ. It compares
-// meaning, not text: comments, order of lists and ways of writing a size do not
-// count.
+// Package differ lists the items and fields in which two fleets differ. It compares
+// values, not text: comments, the order of lists and the notation of sizes are
+// ignored.
 package differ
 
 import (
@@ -13,10 +13,11 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// field is one value of an item, as an operator would write it.
+// field is one value of an item, formatted as in a fleet text.
 type field struct{ name, value string }
 
-// item is a tenant, service, task class, zone or the policy.
+// item is an availability zone, tenant, service, task class or queue, the policy,
+// or the fleet itself.
 type item struct {
 	kind, name string
 	fields     []field
@@ -25,25 +26,25 @@
 func (i item) key() string { return strings.TrimSpace(i.kind + " " + i.name) }
 
 // Diff returns a line for each difference between two fleets, in the order of
-// the new text with removed items last. No line means that they are equal.
+// the new text with removed items last. The result is empty if they are equal.
 func Diff(old, current describer.Config) []string {
 	before, after := itemsOf(old), itemsOf(current)
-	known := make(map[string]item, len(before))
+	previousItems := make(map[string]item, len(before))
 	for _, i := range before {
-		known[i.key()] = i
+		previousItems[i.key()] = i
 	}
 	lines := []string{}
 	kept := make(map[string]bool)
 	for _, i := range after {
 		kept[i.key()] = true
-		was, ok := known[i.key()]
+		previous, ok := previousItems[i.key()]
 		if !ok {
-			lines = append(lines, "added "+i.key()+describe(i.fields))
+			lines = append(lines, "added "+i.key()+formatFields(i.fields))
 			continue
 		}
 		for k, f := range i.fields {
-			if was.fields[k].value != f.value {
-				lines = append(lines, fmt.Sprintf("changed %s: %s %s -> %s", i.key(), f.name, was.fields[k].value, f.value))
+			if previous.fields[k].value != f.value {
+				lines = append(lines, fmt.Sprintf("changed %s: %s %s -> %s", i.key(), f.name, previous.fields[k].value, f.value))
 			}
 		}
 	}
@@ -55,7 +56,7 @@
 	return lines
 }
 
-func describe(fields []field) string {
+func formatFields(fields []field) string {
 	parts := make([]string, 0, len(fields))
 	for _, f := range fields {
 		parts = append(parts, f.name+" "+f.value)
@@ -126,7 +127,7 @@
 	}
 }
 
-// Memory writes an amount of memory in the largest unit that shows it whole.
+// Memory formats an amount of memory in the largest unit that divides it evenly.
 func Memory(bytes int64) string {
 	units := []struct {
 		name string
--- a/internal/fleet/differ/differ_test.go
+++ b/internal/fleet/differ/differ_test.go
@@ -30,11 +30,11 @@
 		want []string
 	}{
 		{"equal", func(*describer.Config) {}, []string{}},
-		{"order does not count", func(c *describer.Config) {
+		{"order is ignored", func(c *describer.Config) {
 			c.Zones = []describer.Zone{c.Zones[1], c.Zones[0]}
 			c.Services[0].DependsOn = []string{"y", "x"}
 		}, []string{}},
-		{"version does not count", func(c *describer.Config) { c.Version = 9 }, []string{}},
+		{"version is ignored", func(c *describer.Config) { c.Version = 9 }, []string{}},
 		{"fields", func(c *describer.Config) {
 			c.Zones[1].State = "out"
 			c.Services[0].Needs.Millicores = 1500
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestDiffIsSymmetric checks that both directions see the same number of
-// differences: what one adds the other removes.
+// TestDiffIsSymmetric checks that both directions list the same number of
+// differences: an item added in one direction is removed in the other.
 func TestDiffIsSymmetric(t *testing.T) {
 	draw := func(t *rapid.T) describer.Config {
 		c := describer.Config{}
@@ -74,9 +74,9 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := draw(t), draw(t)
-		there, back := Diff(a, b), Diff(b, a)
-		if len(there) != len(back) || len(Diff(a, a)) != 0 {
-			t.Errorf("%v\n%v", there, back)
+		forward, backward := Diff(a, b), Diff(b, a)
+		if len(forward) != len(backward) || len(Diff(a, a)) != 0 {
+			t.Errorf("%v\n%v", forward, backward)
 		}
 	})
 }
