--- a/internal/fleet/parser/decoder.go
+++ b/internal/fleet/parser/decoder.go
@@ -12,18 +12,18 @@
 	"bamboospread/internal/fleet/finder"
 )
 
-// decoder walks the nodes of a text. It goes on after a fault, so that one pass
-// finds all of them.
+// decoder walks the nodes of a text. It continues after an error, so that one pass
+// finds all errors.
 type decoder struct {
-	found  *finder.Finder
-	places map[string]finder.Place
+	findings  *finder.Finder
+	positions map[string]finder.Position
 }
 
-// field reads the value of one key.
+// field decodes the value of one key.
 type field func(n ast.Node, path string)
 
 func (d *decoder) add(n ast.Node, path, format string, args ...any) {
-	d.found.Add(placeOf(n), path, format, args...)
+	d.findings.Add(positionOf(n), path, format, args...)
 }
 
 func join(path, key string) string {
@@ -33,12 +33,12 @@
 	return path + "." + key
 }
 
-// object reads a mapping whose keys are those of fields. Unknown keys and keys
-// given twice are findings.
+// object decodes a mapping with the keys of fields. Unknown and duplicate keys are
+// findings.
 func (d *decoder) object(n ast.Node, path string, fields map[string]field) {
 	values, ok := mappingValues(n)
 	if !ok {
-		d.add(n, path, "want keys with values, not %s", nameOf(n))
+		d.add(n, path, "want keys with values, not %s", describeNode(n))
 		return
 	}
 	seen := make(map[string]bool)
@@ -55,7 +55,7 @@
 			d.add(v, at, "the value is missing")
 		default:
 			seen[key] = true
-			d.places[at] = placeOf(v.Value)
+			d.positions[at] = positionOf(v.Value)
 			read(v.Value, at)
 		}
 	}
@@ -80,11 +80,11 @@
 	return keys
 }
 
-// list reads a sequence with one call of read for each item.
+// list decodes a sequence by calling read for each item.
 func (d *decoder) list(n ast.Node, path string, read field) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.add(n, path, "want a list, not %s", nameOf(n))
+		d.add(n, path, "want a list, not %s", describeNode(n))
 		return
 	}
 	if len(seq.Values) > MaxItems {
@@ -97,7 +97,7 @@
 			d.add(n, at, "the item is missing")
 			continue
 		}
-		d.places[at] = placeOf(v)
+		d.positions[at] = positionOf(v)
 		read(v, at)
 	}
 }
@@ -106,18 +106,18 @@
 	return func(n ast.Node, path string) {
 		s, ok := n.(*ast.StringNode)
 		if !ok {
-			d.add(n, path, "want a text, not %s; put it in quotes if it is one", nameOf(n))
+			d.add(n, path, "want a string, not %s; put the value in quotes if it is a string", describeNode(n))
 			return
 		}
 		*out = s.Value
 	}
 }
 
-func (d *decoder) flag(out *bool) field {
+func (d *decoder) boolean(out *bool) field {
 	return func(n ast.Node, path string) {
 		b, ok := n.(*ast.BoolNode)
 		if !ok {
-			d.add(n, path, "want true or false, not %s", nameOf(n))
+			d.add(n, path, "want true or false, not %s", describeNode(n))
 			return
 		}
 		*out = b.Value
@@ -128,18 +128,18 @@
 	return func(n ast.Node, path string) {
 		v, err := strconv.ParseFloat(scalar(n), 64)
 		if err != nil {
-			d.add(n, path, "want a number, not %s", nameOf(n))
+			d.add(n, path, "want a number, not %s", describeNode(n))
 			return
 		}
 		*out = v
 	}
 }
 
-func (d *decoder) whole(out *int) field {
+func (d *decoder) integer(out *int) field {
 	return func(n ast.Node, path string) {
 		v, err := strconv.Atoi(scalar(n))
 		if err != nil {
-			d.add(n, path, "want a whole number, not %s", nameOf(n))
+			d.add(n, path, "want a whole number, not %s", describeNode(n))
 			return
 		}
 		*out = v
@@ -150,14 +150,15 @@
 	return func(n ast.Node, path string) {
 		v, err := time.ParseDuration(scalar(n))
 		if err != nil {
-			d.add(n, path, "want a duration such as 200ms, 90s or 1h30m, not %s", nameOf(n))
+			d.add(n, path, "want a duration such as 200ms, 90s or 1h30m, not %s", describeNode(n))
 			return
 		}
 		*out = v
 	}
 }
 
-// scalar returns the text of a scalar as it stands, or one that no reader takes.
+// scalar returns the literal text of a scalar. Other nodes give an empty string,
+// which no caller accepts.
 func scalar(n ast.Node) string {
 	switch v := n.(type) {
 	case *ast.StringNode:
@@ -168,7 +169,7 @@
 	return ""
 }
 
-func nameOf(n ast.Node) string {
+func describeNode(n ast.Node) string {
 	switch v := n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return "keys with values"
--- a/internal/fleet/parser/fleet.go
+++ b/internal/fleet/parser/fleet.go
@@ -8,7 +8,7 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// Values that a fleet text need not give.
+// Defaults for optional fields of a fleet text.
 const (
 	DefaultSlots              = 8
 	DefaultConnections        = 64
@@ -58,7 +58,7 @@
 			"quota":               d.resources(&t.Quota),
 			"weight":              d.number(&t.Weight),
 			"requests-per-second": d.number(&t.RequestsPerSecond),
-			"burst":               d.whole(&t.Burst),
+			"burst":               d.integer(&t.Burst),
 		})
 		*out = append(*out, t)
 	}
@@ -71,9 +71,9 @@
 			"name":              d.text(&s.Name),
 			"tenant":            d.text(&s.Tenant),
 			"needs":             d.resources(&s.Needs),
-			"replicas":          d.whole(&s.Replicas),
-			"slots":             d.whole(&s.Slots),
-			"connections":       d.whole(&s.Connections),
+			"replicas":          d.integer(&s.Replicas),
+			"slots":             d.integer(&s.Slots),
+			"connections":       d.integer(&s.Connections),
 			"latency-objective": d.duration(&s.LatencyObjective),
 			"depends-on":        func(n ast.Node, p string) { d.list(n, p, d.textItem(&s.DependsOn)) },
 		})
@@ -88,10 +88,10 @@
 			"name":           d.text(&c.Name),
 			"needs":          d.resources(&c.Needs),
 			"run-time":       d.duration(&c.RunTime),
-			"urgent":         d.flag(&c.Urgent),
-			"checkpoint":     d.flag(&c.Checkpoint),
-			"max-attempts":   d.whole(&c.MaxAttempts),
-			"hold-when-lost": d.flag(&c.HoldWhenLost),
+			"urgent":         d.boolean(&c.Urgent),
+			"checkpoint":     d.boolean(&c.Checkpoint),
+			"max-attempts":   d.integer(&c.MaxAttempts),
+			"hold-when-lost": d.boolean(&c.HoldWhenLost),
 		})
 		*out = append(*out, c)
 	}
@@ -103,8 +103,8 @@
 		d.object(n, path, map[string]field{
 			"name":         d.text(&q.Name),
 			"service":      d.text(&q.Service),
-			"priority":     d.whole(&q.Priority),
-			"max-failures": d.whole(&q.MaxFailures),
+			"priority":     d.integer(&q.Priority),
+			"max-failures": d.integer(&q.MaxFailures),
 			"slack":        d.number(&q.Slack),
 			"target":       d.duration(&q.Target),
 		})
@@ -124,7 +124,7 @@
 	}
 }
 
-// textItem reads an item of a list of texts.
+// textItem decodes an item of a list of strings.
 func (d *decoder) textItem(out *[]string) field {
 	return func(n ast.Node, path string) {
 		var s string
@@ -139,7 +139,7 @@
 		d.object(n, path, map[string]field{
 			"processors":   d.processors(&out.Millicores),
 			"memory":       d.memory(&out.MemoryBytes),
-			"accelerators": d.whole(&accelerators),
+			"accelerators": d.integer(&accelerators),
 		})
 		out.Accelerators = int64(accelerators)
 	}
--- a/internal/fleet/parser/parser.go
+++ b/internal/fleet/parser/parser.go
@@ -1,6 +1,6 @@
-// Package parser reads a fleet text (YAML) into a describer.Config. Faults of
-// form, such as unknown keys and wrong types, are collected with their places;
-// faults of meaning are left to package validator.
+// Package parser reads a fleet text (YAML) into a describer.Config. It collects
+// syntax errors, unknown keys and wrong types with their positions; package
+// validator checks the values.
 package parser
 
 import (
@@ -20,31 +20,30 @@
 const (
 	MaxTextBytes = 512 << 10
 	MaxTokens    = 100_000
-	MaxDepth     = 12   // of nested lists and mappings
-	MaxItems     = 2000 // of one list
+	MaxDepth     = 12   // nesting of lists and mappings
+	MaxItems     = 2000 // in one list
 )
 
-// Result is what was read, with the place of each path for later findings.
+// Result is the parsed config with the position of each path, for later findings.
 type Result struct {
-	Config describer.Config
-	places map[string]finder.Place
+	Config    describer.Config
+	positions map[string]finder.Position
 }
 
-// Place returns the place of a path, or that of its nearest parent that stands
-// in the text.
-func (r Result) Place(path string) finder.Place {
+// Position returns the position of a path, or of its nearest parent in the text.
+func (r Result) Position(path string) finder.Position {
 	for path != "" {
-		if p, ok := r.places[path]; ok {
+		if p, ok := r.positions[path]; ok {
 			return p
 		}
 		path = parent(path)
 	}
-	return r.places[""]
+	return r.positions[""]
 }
 
-// Has tells whether the path stands in the text.
+// Has reports whether the text contains the path.
 func (r Result) Has(path string) bool {
-	_, ok := r.places[path]
+	_, ok := r.positions[path]
 	return ok
 }
 
@@ -57,10 +56,11 @@
 	return ""
 }
 
-// Parse reads text. Faults go to found; the Result holds what could be read.
-func Parse(text []byte, found *finder.Finder) Result {
-	d := &decoder{found: found, places: map[string]finder.Place{"": {Line: 1, Column: 1}}}
-	result := Result{places: d.places}
+// Parse reads text and adds its errors to findings. The Result holds everything
+// that could be read.
+func Parse(text []byte, findings *finder.Finder) Result {
+	d := &decoder{findings: findings, positions: map[string]finder.Position{"": {Line: 1, Column: 1}}}
+	result := Result{positions: d.positions}
 	root := d.root(text)
 	if root != nil {
 		result.Config = d.fleet(root)
@@ -68,17 +68,18 @@
 	return result
 }
 
-// root returns the node of the one document in text, or nil with a finding.
+// root returns the node of the only document in text, or nil after adding a
+// finding.
 func (d *decoder) root(text []byte) (node ast.Node) {
 	if len(text) > MaxTextBytes {
-		d.found.Add(finder.Place{Line: 1, Column: 1}, "", "the text has %d bytes, more than the limit of %d", len(text), MaxTextBytes)
+		d.findings.Add(finder.Position{Line: 1, Column: 1}, "", "the text has %d bytes, more than the limit of %d", len(text), MaxTextBytes)
 		return nil
 	}
-	// The library has panicked on broken texts before. An operator's text must
-	// not end a process that serves requests, so a panic becomes a finding.
+	// The YAML library has panicked on malformed texts. An operator's text must not
+	// crash a process that serves requests, so a panic becomes a finding.
 	defer func() {
 		if p := recover(); p != nil {
-			d.found.Add(finder.Place{Line: 1, Column: 1}, "", "the text is not YAML that can be read: %v", p)
+			d.findings.Add(finder.Position{Line: 1, Column: 1}, "", "the text is not valid YAML: %v", p)
 			node = nil
 		}
 	}()
@@ -103,19 +104,19 @@
 	}
 	switch len(bodies) {
 	case 0:
-		d.found.Add(finder.Place{Line: 1, Column: 1}, "", "the text is empty")
+		d.findings.Add(finder.Position{Line: 1, Column: 1}, "", "the text is empty")
 		return nil
 	case 1:
 		return bodies[0]
 	}
-	d.found.Add(placeOf(bodies[1]), "", "the text holds more than one document")
+	d.findings.Add(positionOf(bodies[1]), "", "the text holds more than one document")
 	return nil
 }
 
-// forbidden are the parts of YAML that a fleet text does not need. Aliases
-// repeat their anchor, so that a few lines unfold to gigabytes; the rest could
-// only hide a mistake.
-var forbidden = map[token.Type]string{
+// forbiddenTokens are the YAML features that a fleet text does not need. Aliases
+// repeat their anchor, so a few lines can expand to gigabytes; the other features
+// could only hide a mistake.
+var forbiddenTokens = map[token.Type]string{
 	token.AnchorType:     "anchors, aliases and merge keys are not allowed; write the value out",
 	token.AliasType:      "anchors, aliases and merge keys are not allowed; write the value out",
 	token.MergeKeyType:   "anchors, aliases and merge keys are not allowed; write the value out",
@@ -124,35 +125,35 @@
 	token.MappingKeyType: "keys that are not plain words are not allowed",
 }
 
-// checkTokens refuses what could make a small text large or slow to read. It is
-// seen in the tokens, before anything is built from them.
+// checkTokens rejects constructs that make a small text expand or slow to parse.
+// It checks the tokens before any node is built from them.
 func (d *decoder) checkTokens(tokens token.Tokens) bool {
 	if len(tokens) > MaxTokens {
-		d.found.Add(finder.Place{Line: 1, Column: 1}, "", "the text has more than %d parts", MaxTokens)
+		d.findings.Add(finder.Position{Line: 1, Column: 1}, "", "the text has more than %d tokens", MaxTokens)
 		return false
 	}
-	fine := true
+	valid := true
 	var n nesting
 	for _, t := range tokens {
-		if why, ok := forbidden[t.Type]; ok {
-			d.found.Add(placeOfToken(t), "", "%s", why)
-			fine = false
+		if reason, ok := forbiddenTokens[t.Type]; ok {
+			d.findings.Add(tokenPosition(t), "", "%s", reason)
+			valid = false
 		}
 		if t.Type == token.InvalidType {
-			d.found.Add(placeOfToken(t), "", "this can't be read: %s", t.Error)
-			fine = false
+			d.findings.Add(tokenPosition(t), "", "invalid YAML: %s", t.Error)
+			valid = false
 		}
 		if n.add(t) > MaxDepth {
-			// The reader recurses; deep nesting would cost its stack.
-			d.found.Add(placeOfToken(t), "", "lists and mappings are nested more than %d deep", MaxDepth)
+			// The YAML parser is recursive; deep nesting would exhaust its stack.
+			d.findings.Add(tokenPosition(t), "", "lists and mappings are nested more than %d deep", MaxDepth)
 			return false
 		}
 	}
-	return fine
+	return valid
 }
 
-// nesting counts how deep lists and mappings are nested: by brackets, and by
-// the columns of keys and dashes outside of brackets.
+// nesting tracks the nesting depth of lists and mappings: by brackets, and
+// outside of brackets by the columns of keys and dashes.
 type nesting struct {
 	brackets int
 	columns  []int
@@ -165,16 +166,16 @@
 	case token.MappingEndType, token.SequenceEndType:
 		n.brackets--
 	case token.SequenceEntryType:
-		n.block(t)
+		n.trackColumn(t)
 	case token.MappingValueType:
 		if t.Prev != nil {
-			n.block(t.Prev) // the key
+			n.trackColumn(t.Prev) // the key
 		}
 	}
 	return n.brackets + len(n.columns)
 }
 
-func (n *nesting) block(t *token.Token) {
+func (n *nesting) trackColumn(t *token.Token) {
 	if n.brackets > 0 || t.Position == nil {
 		return
 	}
@@ -190,16 +191,16 @@
 func (d *decoder) addSyntaxError(err error) {
 	var syntax *yaml.SyntaxError
 	if errors.As(err, &syntax) && syntax.Token != nil {
-		d.found.Add(placeOfToken(syntax.Token), "", "%s", syntax.Message)
+		d.findings.Add(tokenPosition(syntax.Token), "", "%s", syntax.Message)
 		return
 	}
-	d.found.Add(finder.Place{Line: 1, Column: 1}, "", "the text is not YAML that can be read: %v", err)
+	d.findings.Add(finder.Position{Line: 1, Column: 1}, "", "the text is not valid YAML: %v", err)
 }
 
-func placeOf(n ast.Node) finder.Place { return placeOfToken(firstToken(n)) }
+func positionOf(n ast.Node) finder.Position { return tokenPosition(firstToken(n)) }
 
-// firstToken returns the token at which a node begins; that of a mapping is its
-// first colon, so its first key is taken.
+// firstToken returns the token at which a node begins. The token of a mapping node
+// is its first colon, so the token of its first key is returned instead.
 func firstToken(n ast.Node) *token.Token {
 	switch v := n.(type) {
 	case *ast.MappingNode:
@@ -212,9 +213,9 @@
 	return n.GetToken()
 }
 
-func placeOfToken(t *token.Token) finder.Place {
+func tokenPosition(t *token.Token) finder.Position {
 	if t == nil || t.Position == nil {
-		return finder.Place{Line: 1, Column: 1}
+		return finder.Position{Line: 1, Column: 1}
 	}
-	return finder.Place{Line: max(t.Position.Line, 1), Column: max(t.Position.Column, 1)}
+	return finder.Position{Line: max(t.Position.Line, 1), Column: max(t.Position.Column, 1)}
 }
--- a/internal/fleet/parser/sizes.go
+++ b/internal/fleet/parser/sizes.go
@@ -11,8 +11,9 @@
 
 const millicoresPerProcessor = 1000
 
-// maxExact is the largest whole number up to which float64 is exact.
-const maxExact = 1 << 53
+// maxExactFloat is the largest value up to which float64 holds every integer
+// exactly.
+const maxExactFloat = 1 << 53
 
 var memoryUnits = []struct {
 	suffix string
@@ -33,7 +34,7 @@
 	return func(n ast.Node, path string) {
 		v, err := ParseProcessors(scalar(n))
 		if err != nil {
-			d.add(n, path, "want processors such as 2, 0.5 or 500m, not %s", nameOf(n))
+			d.add(n, path, "want processors such as 2, 0.5 or 500m, not %s", describeNode(n))
 			return
 		}
 		*out = v
@@ -44,15 +45,15 @@
 	return func(n ast.Node, path string) {
 		v, err := ParseMemory(scalar(n))
 		if err != nil {
-			d.add(n, path, "want memory such as 512MiB, 8GiB or 8GB, not %s", nameOf(n))
+			d.add(n, path, "want memory such as 512MiB, 8GiB or 8GB, not %s", describeNode(n))
 			return
 		}
 		*out = v
 	}
 }
 
-// ParseProcessors reads processors ("2", "0.5") or thousandths ("500m") into
-// millicores.
+// ParseProcessors parses processors ("2", "0.5") or thousandths of a processor
+// ("500m") into millicores.
 func ParseProcessors(s string) (int64, error) {
 	if thousandths, ok := strings.CutSuffix(s, "m"); ok {
 		return parseScaled(thousandths, 1)
@@ -60,8 +61,8 @@
 	return parseScaled(s, millicoresPerProcessor)
 }
 
-// ParseMemory reads an amount of memory into bytes: a plain number or one with
-// a unit of KiB, MiB, GiB, TiB, KB, MB, GB or TB.
+// ParseMemory parses an amount of memory into bytes: a plain number, or one with
+// the unit B, KiB, MiB, GiB, TiB, KB, MB, GB or TB.
 func ParseMemory(s string) (int64, error) {
 	for _, u := range memoryUnits {
 		if number, ok := strings.CutSuffix(s, u.suffix); ok {
@@ -77,7 +78,7 @@
 		return 0, err
 	}
 	v = math.Round(v * scale)
-	if math.IsNaN(v) || math.Abs(v) > maxExact {
+	if math.IsNaN(v) || math.Abs(v) > maxExactFloat {
 		return 0, fmt.Errorf("%s is out of range", s)
 	}
 	return int64(v), nil
--- a/internal/fleet/validator/dependencies.go
+++ b/internal/fleet/validator/dependencies.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// dependencies checks that depends-on names known services and has no cycle: a
-// cycle would leave services that each wait for the other.
+// dependencies checks that depends-on names existing services and has no cycle:
+// services in a cycle would wait for each other forever.
 func (c *checker) dependencies() {
 	index := make(map[string]int)
 	for i, s := range c.Config.Services {
@@ -25,51 +25,51 @@
 			seen[name] = true
 		}
 	}
-	walk := &cycleFinder{checker: c, index: index, state: make([]visit, len(c.Config.Services))}
+	search := &cycleFinder{checker: c, index: index, state: make([]visitState, len(c.Config.Services))}
 	for i := range c.Config.Services {
-		walk.visit(i)
+		search.visit(i)
 	}
 }
 
-type visit int
+type visitState int
 
 const (
-	visitNone visit = iota
-	visitOpen
-	visitDone
+	unvisited visitState = iota
+	inProgress
+	visited
 )
 
-// cycleFinder walks the dependencies depth first; an edge to an open service
-// closes a cycle, which is reported once, at that edge.
+// cycleFinder searches the dependencies depth first. An edge to a service whose
+// visit is in progress closes a cycle, which is reported once, at that edge.
 type cycleFinder struct {
 	checker *checker
 	index   map[string]int
-	state   []visit
+	state   []visitState
 	stack   []string
 }
 
 func (w *cycleFinder) visit(i int) {
-	if w.state[i] != visitNone {
+	if w.state[i] != unvisited {
 		return
 	}
 	service := w.checker.Config.Services[i]
-	w.state[i] = visitOpen
+	w.state[i] = inProgress
 	w.stack = append(w.stack, service.Name)
 	for j, name := range service.DependsOn {
 		next, ok := w.index[name]
 		if !ok {
 			continue
 		}
-		if w.state[next] == visitOpen {
+		if w.state[next] == inProgress {
 			w.checker.add(fmt.Sprintf("services[%d].depends-on[%d]", i, j), "cycle: %s", w.cycle(name))
 		}
 		w.visit(next)
 	}
 	w.stack = w.stack[:len(w.stack)-1]
-	w.state[i] = visitDone
+	w.state[i] = visited
 }
 
-// cycle names the services from name to the top of the stack and name again.
+// cycle formats the services from name to the top of the stack, followed by name.
 func (w *cycleFinder) cycle(name string) string {
 	from := 0
 	for i, s := range w.stack {
--- a/internal/fleet/validator/queues.go
+++ b/internal/fleet/validator/queues.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// queues checks the queues of jobs.
+// queues checks the job queues.
 func (c *checker) queues() {
 	services := make(map[string]bool)
 	for _, s := range c.Config.Services {
--- a/internal/fleet/validator/queues_test.go
+++ b/internal/fleet/validator/queues_test.go
@@ -11,11 +11,11 @@
 	tests := []struct {
 		name, queues, want string
 	}{
-		{"fine", "  - {name: q, service: s, priority: 2, max-failures: 3, slack: 1.5, target: 250ms}\n", ""},
-		{"twice", "  - {name: q}\n  - {name: q}\n", `the name "q" is given twice`},
-		{"no such service", "  - {name: q, service: x}\n", `there is no service "x"`},
-		{"priority", "  - {name: q, priority: 10}\n", "want 0 to 9, not 10"},
-		{"no failure allowed", "  - {name: q, max-failures: 0}\n", "max-failures: want 1 to 1000, not 0"},
+		{"valid", "  - {name: q, service: s, priority: 2, max-failures: 3, slack: 1.5, target: 250ms}\n", ""},
+		{"duplicate name", "  - {name: q}\n  - {name: q}\n", `the name "q" is given twice`},
+		{"unknown service", "  - {name: q, service: x}\n", `there is no service "x"`},
+		{"priority too high", "  - {name: q, priority: 10}\n", "want 0 to 9, not 10"},
+		{"max-failures zero", "  - {name: q, max-failures: 0}\n", "max-failures: want 1 to 1000, not 0"},
 		{"slack below one", "  - {name: q, slack: 0.5}\n", "slack: want 1 to 100, not 0.5"},
 		{"target too long", "  - {name: q, target: 48h}\n", "target: want 0 to 24h0m0s"},
 		{"unknown key", "  - {name: q, colour: red}\n", "queues[0].colour: unknown key"},
--- a/internal/fleet/validator/validator.go
+++ b/internal/fleet/validator/validator.go
@@ -1,5 +1,5 @@
-// Package validator checks a fleet text as a whole: form and meaning. All faults
-// are reported together, with line and column.
+// Package validator checks the syntax and the values of a fleet text. It reports
+// all errors at once, with line and column.
 package validator
 
 import (
@@ -12,7 +12,7 @@
 	"bamboospread/internal/fleet/parser"
 )
 
-// Bounds beyond which a value is taken for a mistake.
+// Limits of values; a value outside is treated as a mistake.
 const (
 	MaxMillicores   = 4096 * 1000
 	MaxMemoryBytes  = 64 << 40
@@ -34,25 +34,25 @@
 	MaxTarget       = 24 * time.Hour
 )
 
-// Check reads and checks text. The error, if any, is a finder.Findings.
+// Check parses and validates text. The error, if any, is a finder.Findings.
 func Check(text []byte) (describer.Config, error) {
-	found := &finder.Finder{}
-	c := &checker{Result: parser.Parse(text, found), found: found}
-	// A text that could not be read at all would only add findings that follow
-	// from that.
-	if found.Err() == nil || c.Has("fleet") || len(c.Config.Zones) > 0 {
+	findings := &finder.Finder{}
+	c := &checker{Result: parser.Parse(text, findings), findings: findings}
+	// If nothing could be parsed, checking the values would only add findings
+	// caused by that.
+	if findings.Err() == nil || c.Has("fleet") || len(c.Config.Zones) > 0 {
 		c.fleet()
 	}
-	return c.Config, found.Err()
+	return c.Config, findings.Err()
 }
 
 type checker struct {
 	parser.Result
-	found *finder.Finder
+	findings *finder.Finder
 }
 
 func (c *checker) add(path, format string, args ...any) {
-	c.found.Add(c.Place(path), path, format, args...)
+	c.findings.Add(c.Position(path), path, format, args...)
 }
 
 func (c *checker) fleet() {
@@ -66,13 +66,13 @@
 	c.policy()
 }
 
-// name checks a name: it stands in paths, store keys and metric labels.
+// name checks a name, which is used in paths, store keys and metric labels.
 func (c *checker) name(path, name string) {
 	switch {
 	case name == "" && !c.Has(path):
 		c.add(path, "the name is missing")
 	case name == "":
-		// Given, but empty or of a wrong type.
+		// Present, but empty or of the wrong type.
 		c.add(path, "want a name")
 	case len(name) > MaxNameBytes:
 		c.add(path, "the name has %d bytes, more than the limit of %d", len(name), MaxNameBytes)
@@ -94,7 +94,7 @@
 	return s != ""
 }
 
-// names checks the names of a list and that none is given twice.
+// names checks the names of a list for validity and duplicates.
 func (c *checker) names(list string, names []string) map[string]bool {
 	known := make(map[string]bool, len(names))
 	for i, name := range names {
@@ -133,9 +133,9 @@
 	for i, t := range c.Config.Tenants {
 		path := fmt.Sprintf("tenants[%d]", i)
 		c.resources(path+".quota", t.Quota)
-		c.within(path+".weight", t.Weight, MinWeight, MaxWeight)
-		c.within(path+".requests-per-second", t.RequestsPerSecond, 0, MaxRate)
-		c.whole(path+".burst", t.Burst, 0, MaxRate)
+		c.floatRange(path+".weight", t.Weight, MinWeight, MaxWeight)
+		c.floatRange(path+".requests-per-second", t.RequestsPerSecond, 0, MaxRate)
+		c.intRange(path+".burst", t.Burst, 0, MaxRate)
 	}
 	return known
 }
@@ -155,10 +155,10 @@
 			c.add(path+".tenant", "there is no tenant %q", s.Tenant)
 		}
 		c.needs(path+".needs", s.Needs)
-		c.whole(path+".replicas", s.Replicas, 0, MaxReplicas)
-		c.whole(path+".slots", s.Slots, 1, MaxSlots)
-		c.whole(path+".connections", s.Connections, 1, MaxConnections)
-		c.duration(path+".latency-objective", s.LatencyObjective, time.Millisecond, MaxObjective)
+		c.intRange(path+".replicas", s.Replicas, 0, MaxReplicas)
+		c.intRange(path+".slots", s.Slots, 1, MaxSlots)
+		c.intRange(path+".connections", s.Connections, 1, MaxConnections)
+		c.durationRange(path+".latency-objective", s.LatencyObjective, time.Millisecond, MaxObjective)
 	}
 }
 
@@ -171,22 +171,22 @@
 	for i, t := range c.Config.TaskClasses {
 		path := fmt.Sprintf("task-classes[%d]", i)
 		c.needs(path+".needs", t.Needs)
-		c.duration(path+".run-time", t.RunTime, time.Millisecond, MaxRunTime)
-		c.whole(path+".max-attempts", t.MaxAttempts, 1, MaxAttempts)
+		c.durationRange(path+".run-time", t.RunTime, time.Millisecond, MaxRunTime)
+		c.intRange(path+".max-attempts", t.MaxAttempts, 1, MaxAttempts)
 	}
 }
 
 func (c *checker) policy() {
 	p := c.Config.Policy
-	c.within("policy.tail-latency-weight", p.TailLatencyWeight, 0, MaxWeight)
-	c.within("policy.throughput-weight", p.ThroughputWeight, 0, MaxWeight)
-	c.within("policy.eviction-weight", p.EvictionWeight, 0, MaxWeight)
-	c.within("policy.evictions-per-minute", p.EvictionsPerMinute, 0, MaxRate)
-	c.duration("policy.outage-lease", p.OutageLease, MinOutageLease, MaxOutageLease)
+	c.floatRange("policy.tail-latency-weight", p.TailLatencyWeight, 0, MaxWeight)
+	c.floatRange("policy.throughput-weight", p.ThroughputWeight, 0, MaxWeight)
+	c.floatRange("policy.eviction-weight", p.EvictionWeight, 0, MaxWeight)
+	c.floatRange("policy.evictions-per-minute", p.EvictionsPerMinute, 0, MaxRate)
+	c.durationRange("policy.outage-lease", p.OutageLease, MinOutageLease, MaxOutageLease)
 }
 
-// needs checks sizes that must not be zero: work that needs no processor or no
-// memory could be placed without end on one VM.
+// needs checks sizes that must not be zero: an unlimited amount of work that needs
+// no processor or no memory would fit on one VM.
 func (c *checker) needs(path string, r describer.Resources) {
 	if r.Millicores == 0 {
 		c.add(path+".processors", "processors are missing or zero")
@@ -209,19 +209,19 @@
 	}
 }
 
-func (c *checker) whole(path string, v, low, high int) {
+func (c *checker) intRange(path string, v, low, high int) {
 	if v < low || v > high {
 		c.add(path, "%d is out of range; want %d to %d", v, low, high)
 	}
 }
 
-func (c *checker) within(path string, v, low, high float64) {
+func (c *checker) floatRange(path string, v, low, high float64) {
 	if math.IsNaN(v) || v < low || v > high {
 		c.add(path, "%g is out of range; want %g to %g", v, low, high)
 	}
 }
 
-func (c *checker) duration(path string, v, low, high time.Duration) {
+func (c *checker) durationRange(path string, v, low, high time.Duration) {
 	if v < low || v > high {
 		c.add(path, "%s is out of range; want %s to %s", v, low, high)
 	}
--- a/internal/fleet/validator/validator_test.go
+++ b/internal/fleet/validator/validator_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestFindingsAreToldTogetherWithPlaces(t *testing.T) {
+func TestAllFindingsAreReportedWithPositions(t *testing.T) {
 	tests := []struct {
 		name, text string
 		want       []string
@@ -65,9 +65,9 @@
 		{"empty", "", []string{"1:1: the text is empty"}},
 		{"only a comment", "# nothing\n", []string{"1:1: the text is empty"}},
 		{"not a mapping", "- a\n", []string{"1:1: want keys with values, not a list"}},
-		{"broken", "fleet: [a\n", []string{"1:8: sequence end token ']' not found"}},
+		{"unclosed list", "fleet: [a\n", []string{"1:8: sequence end token ']' not found"}},
 		{"two documents", smallFleet + "---\nfleet: b\n", []string{"15:1: the text holds more than one document"}},
-		{"several faults", `fleet: Small
+		{"several errors", `fleet: Small
 colour: red
 availability-zones:
   - {name: a, state: gone}
@@ -138,27 +138,27 @@
 	return lines
 }
 
-// TestHostileTextsAreRefused sends texts that cost a careless reader its memory,
-// stack or time: aliases that unfold a few lines to gigabytes, deep nesting, and
-// very many parts. Each must be refused within the test's time.
-func TestHostileTextsAreRefused(t *testing.T) {
-	bomb := "a: &a [x, x, x, x, x, x, x, x, x]\n"
+// TestHostileTextsAreRejected sends texts that would exhaust the memory, stack or
+// time of a parser without limits: aliases that expand a few lines to gigabytes,
+// deep nesting, and very many tokens. Each must be rejected within the test's time.
+func TestHostileTextsAreRejected(t *testing.T) {
+	aliasBomb := "a: &a [x, x, x, x, x, x, x, x, x]\n"
 	for c := 'b'; c < 'k'; c++ {
-		bomb += fmt.Sprintf("%c: &%c [%s]\n", c, c, strings.Repeat(fmt.Sprintf("*%c, ", c-1), 9))
+		aliasBomb += fmt.Sprintf("%c: &%c [%s]\n", c, c, strings.Repeat(fmt.Sprintf("*%c, ", c-1), 9))
 	}
-	var steps strings.Builder
+	var indented strings.Builder
 	for i := range 900 {
-		steps.WriteString(strings.Repeat(" ", i) + "a:\n")
+		indented.WriteString(strings.Repeat(" ", i) + "a:\n")
 	}
 	tests := []struct{ name, text, want string }{
-		{"alias bomb", bomb, "anchors, aliases and merge keys are not allowed"},
+		{"alias bomb", aliasBomb, "anchors, aliases and merge keys are not allowed"},
 		{"merge key", "a: {x: 1}\nb:\n  <<: 1\n", "anchors, aliases and merge keys are not allowed"},
 		{"tag", "fleet: !!binary aGk=\n", "tags and directives are not allowed"},
 		{"deep flow", strings.Repeat("[", 90_000), "nested more than"},
 		{"deep mappings in flow", strings.Repeat("{a: ", 30_000), "nested more than"},
-		{"deep dashes", strings.Repeat("- ", 90_000) + "a", "nested more than"},
-		{"deep steps", steps.String(), "nested more than"},
-		{"many parts", strings.Repeat("a: 1\n", 100_000), "parts"},
+		{"deep block lists", strings.Repeat("- ", 90_000) + "a", "nested more than"},
+		{"deep block mappings", indented.String(), "nested more than"},
+		{"many tokens", strings.Repeat("a: 1\n", 100_000), "tokens"},
 		{"too long", strings.Repeat("#", parser.MaxTextBytes+1), "more than the limit of 524288"},
 		{"long list", "tenants: [" + strings.Repeat("{},", 2001) + "]", "more than the limit of 2000"},
 		{"question mark key", "? [a]\n: 1\n", "not allowed"},
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestExamplesHaveNoFaults(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, text := range examples(t) {
 		if _, err := Check(text); err != nil {
 			t.Error(err)
@@ -203,8 +203,9 @@
 	return texts
 }
 
-// TestDependenciesMatchTopologicalOrder draws dependencies and compares the
-// verdict with a count of services that can be started one after the other.
+// TestDependenciesMatchTopologicalOrder generates dependencies and compares the
+// result of Check with the number of services that can be started one after the
+// other.
 func TestDependenciesMatchTopologicalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "services")
@@ -219,13 +220,13 @@
 			text += fmt.Sprintf("  - {name: s%d, tenant: t, needs: {processors: 1, memory: 1GB}, depends-on: [%s]}\n", i, strings.Join(names, ", "))
 		}
 		_, err := Check([]byte(text))
-		if got, want := err == nil, startable(needs) == n; got != want {
+		if got, want := err == nil, countStartable(needs) == n; got != want {
 			t.Fatalf("accepted: %v, want %v\n%s\n%v", got, want, text, err)
 		}
 	})
 }
 
-func startable(needs [][]int) int {
+func countStartable(needs [][]int) int {
 	started := make(map[int]bool)
 	for range needs {
 		for i, on := range needs {
@@ -241,8 +242,8 @@
 	return len(started)
 }
 
-// FuzzParse looks for texts that end the process, and for texts that are
-// accepted and hold what a scheduler can't work with.
+// FuzzParse searches for texts that crash the process, and for accepted texts with
+// values that the scheduler can't handle.
 func FuzzParse(f *testing.F) {
 	for _, text := range examples(f) {
 		f.Add(text)
@@ -258,9 +259,9 @@
 			if !ok || len(findings) == 0 {
 				t.Fatalf("got %v, want findings", err)
 			}
-			for _, one := range findings {
-				if one.Line < 1 || one.Column < 1 || one.Message == "" {
-					t.Errorf("finding without a place or message: %+v", one)
+			for _, finding := range findings {
+				if finding.Line < 1 || finding.Column < 1 || finding.Message == "" {
+					t.Errorf("finding without a position or message: %+v", finding)
 				}
 			}
 			return
