--- a/internal/fleet/recorder/recorder_test.go
+++ b/internal/fleet/recorder/recorder_test.go
@@ -20,7 +20,7 @@
 	return r.Next("id-5", "digest", time.Unix(1, 0))
 }
 
-func TestDecodeGivesWhatIsInForce(t *testing.T) {
+func TestDecodeReturnsEffectiveFleet(t *testing.T) {
 	value, err := Encode(record())
 	if err != nil {
 		t.Fatal(err)
@@ -37,16 +37,16 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejects(t *testing.T) {
 	tests := []struct {
 		name, value string
 		version     int64
 	}{
-		{"nothing", "", 0},
+		{"empty", "", 0},
 		{"not JSON", "{", 0},
-		{"another form", `{"version":7,"text":{"new":"form"}}`, 7},
+		{"text of another type", `{"version":7,"text":{"new":"form"}}`, 7},
 		{"no version", `{"text":"fleet: f"}`, 0},
-		{"a text of a newer program", `{"version":8,"text":"fleet: f\nnew-key: 1\navailability-zones: [{name: a}]"}`, 8},
+		{"text with an unknown key", `{"version":8,"text":"fleet: f\nnew-key: 1\navailability-zones: [{name: a}]"}`, 8},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestLargestTextFitsTheStore checks that what the parser lets through can be
-// stored, with a full list of changes.
-func TestLargestTextFitsTheStore(t *testing.T) {
+// TestLargestTextFitsStore checks that the largest text that the parser accepts can
+// be stored together with a full list of changes.
+func TestLargestTextFitsStore(t *testing.T) {
 	r := Record{Text: text + strings.Repeat("#\"<&\n", (parser.MaxTextBytes-len(text))/5)}
 	for i := range 2 * MaxRecentChanges {
 		r = r.Next(strings.Repeat("x", 120)+fmt.Sprint(i), Digest("x"), time.Now())
@@ -78,8 +78,8 @@
 	}
 }
 
-// FuzzDecode looks for stored values that end the process, or that are taken
-// although they can't be in force.
+// FuzzDecode searches for stored values that crash the process, or that are accepted
+// but decoded into a fleet that contradicts the record.
 func FuzzDecode(f *testing.F) {
 	value, err := Encode(record())
 	if err != nil {
@@ -94,11 +94,11 @@
 			return
 		}
 		if r.Version < 1 || fleet.Version() != r.Version {
-			t.Errorf("took version %d as %d", r.Version, fleet.Version())
+			t.Errorf("version %d was decoded as %d", r.Version, fleet.Version())
 		}
 		for _, z := range r.ZonesOut {
 			if !fleet.ZoneIsOut(z) {
-				t.Errorf("zone %q is in force although it was taken out", z)
+				t.Errorf("zone %q is in although it was taken out", z)
 			}
 		}
 	})
