--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -1,6 +1,5 @@
-// Package follower keeps a process at the newest fleet record that it can learn
-// of: by a watch of the store, and from its peers.
-// Versions only rise.
+// Package follower keeps the newest fleet record that a process can get, by a watch
+// of the store and from its peers. Its version never decreases.
 package follower
 
 import (
@@ -21,55 +20,56 @@
 
 // Times of the watch loop.
 const (
-	watchWait    = 900 * time.Millisecond // bounds how long a watch that went silent is believed in
-	firstPause   = 50 * time.Millisecond
-	longestPause = time.Second
-	peerInterval = 500 * time.Millisecond
-	peerTimeout  = 2 * time.Second
+	watchWait        = 900 * time.Millisecond // limits how long a watch on a stalled connection goes unnoticed
+	minRetryDelay    = 50 * time.Millisecond
+	maxRetryDelay    = time.Second
+	peerPollInterval = 500 * time.Millisecond
+	peerTimeout      = 2 * time.Second
 )
 
-// Sources of a record, as they stand in events.
+// Sources of a record, as logged in events.
 const (
 	fromStore = "store"
 	fromPeer  = "peer"
 )
 
-// keptTexts is the number of earlier versions whose text is remembered.
-const keptTexts = 32
+// maxKeptTexts is the number of recent versions whose text is kept.
+const maxKeptTexts = 32
 
 // Config holds the settings of a Follower.
 type Config struct {
-	Keeper   *keeper.Keeper // nil: the process learns from peers only
+	Keeper   *keeper.Keeper // nil: the process gets records from peers only
 	Reporter *reporter.Reporter
-	// FetchFromPeer returns the record of another process if that is above a
-	// version, else an empty reply. It is called about twice a second and should
-	// make no call when no peer is known to be ahead. It may be nil.
+	// FetchFromPeer returns the record of another process if its version is higher
+	// than the given one, else an empty reply. It is called about twice a second and
+	// should make no call when no peer is known to have a higher version. It may be
+	// nil.
 	FetchFromPeer func(ctx context.Context, above int64) (messenger.FleetReply, error)
-	// Changed, if set, is told each version taken, in rising order. It must
-	// not block.
+	// Changed, if set, is called with each applied version in increasing order. It
+	// must not block.
 	Changed func(f *describer.Fleet)
 	Now     func() time.Time
 }
 
-// Follower holds the newest record known. It is safe for concurrent use.
+// Follower holds the newest known fleet record. It is safe for concurrent use.
 type Follower struct {
 	config  Config
-	current atomic.Pointer[state]
+	current atomic.Pointer[snapshot]
 
-	mu         sync.Mutex // guards what follows and writes of current
-	revision   int64      // of the store, up to which all changes were seen
-	known      bool       // the store was read at least once
-	readAt     time.Time  // when the last read of the store that was answered was sent
-	unreadable int64      // version of the record in the store, if it could not be read
-	judgedAt   int64      // the store's revision of the record by which that was told
-	texts      map[int64]string
+	mu                sync.Mutex // guards the fields below and writes to current
+	revision          int64      // store revision up to which all changes were applied
+	storeRead         bool       // the store was read at least once
+	readAt            time.Time  // time at which the last successful read of the store was sent
+	unreadableVersion int64      // version of the stored record, if it could not be decoded
+	checkedRevision   int64      // store revision of the record that determined unreadableVersion
+	texts             map[int64]string
 }
 
-// state is an immutable snapshot.
-type state struct {
-	fleet *describer.Fleet
-	reply messenger.FleetReply
-	meta  recorder.Record
+// snapshot is the immutable current state.
+type snapshot struct {
+	fleet  *describer.Fleet
+	reply  messenger.FleetReply
+	record recorder.Record
 }
 
 // New returns a Follower that holds the empty fleet of version 0.
@@ -81,32 +81,32 @@
 		c.Now = time.Now
 	}
 	f := &Follower{config: c, texts: make(map[int64]string)}
-	f.current.Store(&state{fleet: describer.New(describer.Config{})})
+	f.current.Store(&snapshot{fleet: describer.New(describer.Config{})})
 	return f
 }
 
-// Known tells whether the fleet is known: a record is held, or the store was read
-// and has none.
+// Known reports whether the fleet is known: the follower has a record, or it has
+// read the store and found none.
 func (f *Follower) Known() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.known || f.current.Load().fleet.Version() > 0
+	return f.storeRead || f.current.Load().fleet.Version() > 0
 }
 
-// Fleet returns the fleet in force, never nil; its version is 0 before the
-// first record.
+// Fleet returns the current fleet, never nil. Its version is 0 before the first
+// record.
 func (f *Follower) Fleet() *describer.Fleet { return f.current.Load().fleet }
 
-// Version returns the version in force.
+// Version returns the version of the current fleet.
 func (f *Follower) Version() int64 { return f.Fleet().Version() }
 
-// Record returns the record in force in its stored form, for peers.
-func (f *Follower) Record() messenger.FleetReply { return f.current.Load().reply }
+// PeerReply returns the current record in its stored encoding, for peers.
+func (f *Follower) PeerReply() messenger.FleetReply { return f.current.Load().reply }
 
-// Stored returns the record in force, decoded.
-func (f *Follower) Stored() recorder.Record { return f.current.Load().meta }
+// CurrentRecord returns the current record, decoded.
+func (f *Follower) CurrentRecord() recorder.Record { return f.current.Load().record }
 
-// FindText returns the text of a recent version.
+// FindText returns the fleet text of a recent version.
 func (f *Follower) FindText(version int64) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,41 +114,41 @@
 	return text, ok
 }
 
-// Offer takes a record from a peer, or one just accepted by the store, if its
-// version is higher than the one held.
+// Offer applies a record from a peer, or one just accepted by the store, if its
+// version is higher than the current one.
 func (f *Follower) Offer(r messenger.FleetReply) error {
 	if len(r.Record) == 0 || r.Version <= f.Version() {
 		return nil
 	}
-	return f.take(r.Record, fromPeer, 0)
+	return f.apply(r.Record, fromPeer, 0)
 }
 
-// take makes value the record in force if its version is higher.
+// apply makes value the current record if its version is higher.
 //
-// Records arrive by several ways at once: watch, peers, refresh. An old one can
-// come late, and taking it would put a zone back in that operators have taken
-// out. Comparing versions under the lock keeps every process from going back,
-// and versions are given by compare-and-swap, so that each names one content.
-func (f *Follower) take(value []byte, source string, revision int64) error {
+// Records arrive concurrently from the watch, from peers and from Refresh. An old
+// record can arrive late, and applying it would take a zone back in that operators
+// have taken out. Comparing versions under the lock prevents a return to an older
+// version. Versions are assigned by compare-and-swap, so each identifies one content.
+func (f *Follower) apply(value []byte, source string, revision int64) error {
 	record, fleet, err := recorder.Decode(value)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if source == fromStore && revision > f.judgedAt {
-		f.judgedAt, f.unreadable = revision, 0
+	if source == fromStore && revision > f.checkedRevision {
+		f.checkedRevision, f.unreadableVersion = revision, 0
 	}
 	if err != nil {
-		return f.refuse(err, source, revision)
+		return f.recordUnreadable(err, source, revision)
 	}
-	if held := f.Version(); record.Version <= held {
-		if source == fromStore && record.Version < held {
-			f.config.Reporter.Report(reporter.FleetWentBack, reporter.Fields{"held": held, "stored": record.Version})
+	if current := f.Version(); record.Version <= current {
+		if source == fromStore && record.Version < current {
+			f.config.Reporter.Report(reporter.FleetWentBack, reporter.Fields{"held": current, "stored": record.Version})
 		}
 		return nil
 	}
 	f.texts[record.Version] = record.Text
-	delete(f.texts, record.Version-keptTexts)
-	f.current.Store(&state{
-		fleet: fleet, meta: record,
+	delete(f.texts, record.Version-maxKeptTexts)
+	f.current.Store(&snapshot{
+		fleet: fleet, record: record,
 		reply: messenger.FleetReply{Version: record.Version, Record: value},
 	})
 	f.config.Reporter.Report(reporter.FleetVersionTaken, reporter.Fields{"version": record.Version, "change-id": record.ChangeID, "source": source})
@@ -158,39 +158,41 @@
 	return nil
 }
 
-// refuse notes a record that can't be read. It may be one that a newer program
-// wrote: the fleet held stays in force, but is known not to be the newest.
-func (f *Follower) refuse(err error, source string, revision int64) error {
-	var bad recorder.ErrUnreadable
-	if errors.As(err, &bad) && source == fromStore && revision >= f.judgedAt {
-		f.unreadable = max(bad.Version, f.Version()+1)
+// recordUnreadable records that a record could not be decoded. A newer program
+// version may have written it: the current fleet stays in use, but is known not to be
+// the newest.
+func (f *Follower) recordUnreadable(err error, source string, revision int64) error {
+	var unreadable recorder.ErrUnreadable
+	if errors.As(err, &unreadable) && source == fromStore && revision >= f.checkedRevision {
+		f.unreadableVersion = max(unreadable.Version, f.Version()+1)
 	}
-	f.config.Reporter.Report(reporter.FleetUnreadable, reporter.Fields{"version": bad.Version, "source": source, "error": err.Error()})
+	f.config.Reporter.Report(reporter.FleetUnreadable, reporter.Fields{"version": unreadable.Version, "source": source, "error": err.Error()})
 	return err
 }
 
-// Age is how long ago the fleet held was surely the newest. It is beyond all bounds while the
-// store has one that can't be read.
+// Age returns the time since the current fleet was last known to be the newest. It is
+// the maximum duration before the first read of the store, and while the store holds a
+// record that can't be decoded.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.readAt.IsZero() || f.unreadable > f.Version() {
+	if f.readAt.IsZero() || f.unreadableVersion > f.Version() {
 		return math.MaxInt64
 	}
 	return f.config.Now().Sub(f.readAt)
 }
 
-// Refresh makes one call to the store, and returns a fleet that was the newest
-// at some moment after the call of Refresh began.
+// Refresh makes one call to the store and returns a fleet that was the newest at
+// some time after Refresh was called.
 func (f *Follower) Refresh(ctx context.Context) (*describer.Fleet, error) {
 	if f.config.Keeper == nil {
 		return nil, errors.New("refresh fleet: the process has no store")
 	}
 	f.mu.Lock()
-	after, known := f.revision, f.known
+	after, storeRead := f.revision, f.storeRead
 	f.mu.Unlock()
 	var err error
-	if known {
+	if storeRead {
 		err = f.watch(ctx, after, 0)
 	} else {
 		err = f.read(ctx)
@@ -199,12 +201,12 @@
 		return nil, fmt.Errorf("refresh fleet: %w", err)
 	}
 	f.mu.Lock()
-	unreadable := f.unreadable
+	unreadableVersion := f.unreadableVersion
 	f.mu.Unlock()
-	// Without this a start could obey a fleet that is known to be outdated: the
-	// record that could not be read may take a zone out.
-	if unreadable > f.Version() {
-		return nil, recorder.ErrUnreadable{Version: unreadable, Cause: errors.New("a newer record is stored that this program can't read")}
+	// Otherwise a task could be started according to a fleet that is known to be
+	// outdated: the record that can't be decoded may take a zone out.
+	if unreadableVersion > f.Version() {
+		return nil, recorder.ErrUnreadable{Version: unreadableVersion, Cause: errors.New("the store holds a newer record that this program can't decode")}
 	}
 	return f.Fleet(), nil
 }
@@ -217,37 +219,37 @@
 		return err
 	}
 	f.mu.Lock()
-	if found.Revision < f.revision { // the service counts anew
-		f.judgedAt = 0
+	if found.Revision < f.revision { // the store has lost its state and restarted its revisions
+		f.checkedRevision = 0
 	}
 	f.mu.Unlock()
 	for _, r := range found.Records {
 		if r.Key == recorder.Key {
-			// A record that can't be read is noted by take; the revision moves on.
-			_ = f.take(r.Value, fromStore, r.Revision)
+			// apply logs a record that can't be decoded; the revision advances anyway.
+			_ = f.apply(r.Value, fromStore, r.Revision)
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// Not the highest seen: after a loss of its state the service counts anew.
-	f.known, f.revision, f.readAt = true, found.Revision, sentAt
+	// Not the maximum: a store that has lost its state restarts its revisions.
+	f.storeRead, f.revision, f.readAt = true, found.Revision, sentAt
 	return nil
 }
 
-// watch takes the changes after a revision.
+// watch applies the changes after a revision.
 func (f *Follower) watch(ctx context.Context, after int64, wait time.Duration) error {
 	sentAt := f.config.Now()
 	result, err := f.config.Keeper.Watch(ctx, keeper.WatchOptions{Prefix: recorder.Key, After: after, Wait: wait})
 	if keeper.IsErrHistoryNotExist(err) {
-		// Every watch from this revision fails from now on, so the text held would
-		// stay in force for good; what the record holds is the newest.
+		// Every later watch from this revision would fail too and the current text
+		// would never be replaced. The stored record is the newest.
 		return f.read(ctx)
 	}
 	if err != nil {
 		return err
 	}
 	if result.Revision < after {
-		// The service lost its state and counts anew; read what it holds.
+		// The store has lost its state and restarted its revisions; read the record.
 		return f.read(ctx)
 	}
 	for _, c := range result.Changes {
@@ -256,15 +258,15 @@
 		case c.Deleted:
 			f.config.Reporter.Report(reporter.FleetRecordDeleted, reporter.Fields{"held": f.Version()})
 		default:
-			_ = f.take(c.Record.Value, fromStore, c.Record.Revision)
+			_ = f.apply(c.Record.Value, fromStore, c.Record.Revision)
 		}
 	}
-	f.seen(result.Revision, sentAt)
+	f.markRead(result.Revision, sentAt)
 	return nil
 }
 
-// seen notes that all changes up to a revision were taken, by a read sent at sentAt.
-func (f *Follower) seen(revision int64, sentAt time.Time) {
+// markRead records that a read sent at sentAt returned all changes up to revision.
+func (f *Follower) markRead(revision int64, sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision, f.readAt = max(f.revision, revision), sentAt
--- a/internal/fleet/follower/follower_test.go
+++ b/internal/fleet/follower/follower_test.go
@@ -23,14 +23,14 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-const limit = 10 * time.Second
+const waitLimit = 10 * time.Second
 
 func newStore(t testing.TB) (*storer.Store, *keeper.Keeper) {
 	t.Helper()
 	store := storer.New(storer.Config{})
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(func() {
-		server.CloseClientConnections() // of watches that wait
+		server.CloseClientConnections() // ends waiting watches
 		server.Close()
 	})
 	return store, keeper.New(keeper.Config{URL: server.URL, CallTimeout: 200 * time.Millisecond})
@@ -58,7 +58,7 @@
 	}
 }
 
-// run starts the follower's loop and ends it with the test.
+// run starts the follower's loops and stops them at the end of the test.
 func run(t testing.TB, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,14 +74,14 @@
 
 func waitVersion(t testing.TB, f *Follower, version int64) {
 	t.Helper()
-	for end := time.Now().Add(limit); f.Version() != version; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); f.Version() != version; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("version %d after %s, want %d", f.Version(), limit, version)
+			t.Fatalf("version %d after %s, want %d", f.Version(), waitLimit, version)
 		}
 	}
 }
 
-func TestWatchTakesEachVersion(t *testing.T) {
+func TestWatchAppliesEachVersion(t *testing.T) {
 	_, k := newStore(t)
 	f := New(Config{Keeper: k})
 	run(t, f)
@@ -92,17 +92,17 @@
 	if text, ok := f.FindText(3); !ok || text != "fleet: v3\navailability-zones: [{name: a}]\n" {
 		t.Errorf("text of version 3: %q, %v", text, ok)
 	}
-	if got := f.Record(); got.Version != 5 || string(got.Record) != string(valueOf(t, 5)) {
+	if got := f.PeerReply(); got.Version != 5 || string(got.Record) != string(valueOf(t, 5)) {
 		t.Errorf("record %+v", got)
 	}
 }
 
-// TestVersionsOnlyRise offers records in a drawn order, as watch, peers and
-// refresh may do at once; an old one must never come back in force.
-func TestVersionsOnlyRise(t *testing.T) {
+// TestVersionNeverDecreases offers records concurrently, as the watch, peers and Refresh
+// do. An old record must never replace a newer one.
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var taken []int64
-		f := New(Config{Changed: func(fleet *describer.Fleet) { taken = append(taken, fleet.Version()) }})
+		var applied []int64
+		f := New(Config{Changed: func(fleet *describer.Fleet) { applied = append(applied, fleet.Version()) }})
 		offers := rapid.SliceOf(rapid.Int64Range(1, 8)).Draw(t, "offers")
 		var group sync.WaitGroup
 		for _, v := range offers {
@@ -114,8 +114,8 @@
 			})
 		}
 		group.Wait()
-		if !slices.IsSorted(taken) || len(slices.Compact(slices.Clone(taken))) != len(taken) {
-			t.Errorf("taken in this order: %v", taken)
+		if !slices.IsSorted(applied) || len(slices.Compact(slices.Clone(applied))) != len(applied) {
+			t.Errorf("applied in this order: %v", applied)
 		}
 		if len(offers) > 0 && f.Version() != slices.Max(offers) {
 			t.Errorf("version %d of %v", f.Version(), offers)
@@ -123,9 +123,9 @@
 	})
 }
 
-// TestOfferedVersionIsThatOfTheRecord: a peer that names a higher version than
-// its record has must not get it taken as that version.
-func TestOfferedVersionIsThatOfTheRecord(t *testing.T) {
+// TestOfferUsesVersionOfRecord offers a record whose peer reports a higher version than
+// the record has. It must not be applied under the reported version.
+func TestOfferUsesVersionOfRecord(t *testing.T) {
 	f := New(Config{})
 	for _, offer := range []messenger.FleetReply{{Version: 5, Record: valueOf(t, 5)}, {Version: 9, Record: valueOf(t, 4)}, {Version: 6}} {
 		if err := f.Offer(offer); err != nil {
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestRefreshSeesWhatWasAcceptedBefore accepts a change and refreshes at once.
-// A start commits on the returned fleet, so an older one would start a task in
-// a zone that was already out.
-func TestRefreshSeesWhatWasAcceptedBefore(t *testing.T) {
+// TestRefreshReturnsAcceptedChange stores a change and refreshes at once. Task starts
+// rely on the returned fleet, so an older one would start a task in a zone that was
+// already out.
+func TestRefreshReturnsAcceptedChange(t *testing.T) {
 	store, k := newStore(t)
 	f := New(Config{Keeper: k})
 	for v := range int64(4) {
@@ -167,10 +167,10 @@
 	}
 }
 
-// TestDroppedHistoryIsReadAnew: callers are served by an old fleet text for good.
-// The store drops its history while a follower is not connected; each watch from
-// the revision it had is refused from then on, so it has to read the record anew.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
+// TestRecordIsReadAgainAfterDroppedHistory guards against serving callers by an old fleet
+// text forever. If the store drops its history while a follower is not connected, every
+// watch from the follower's revision is rejected, so it has to read the record again.
+func TestRecordIsReadAgainAfterDroppedHistory(t *testing.T) {
 	store, k := newStore(t)
 	f := New(Config{Keeper: k})
 	put(t, k, valueOf(t, 1))
@@ -186,10 +186,10 @@
 	}
 }
 
-// TestUnreadableRecordIsNotTaken stores a record that only a newer program can
-// read. What is held stays in force for requests, but Refresh must fail: the new
-// record may take a zone out, so nothing may be started on the old one.
-func TestUnreadableRecordIsNotTaken(t *testing.T) {
+// TestUnreadableRecordIsNotApplied stores a record that only a newer program can decode.
+// The current fleet stays in use for requests, but Refresh must fail: the new record may
+// take a zone out, so nothing may be started according to the old one.
+func TestUnreadableRecordIsNotApplied(t *testing.T) {
 	_, k := newStore(t)
 	f := New(Config{Keeper: k})
 	put(t, k, valueOf(t, 1))
@@ -211,10 +211,10 @@
 	}
 }
 
-// TestUnreadableRecordIsReplaced stores a record with a version far ahead that can't be
-// read, then puts the one before back: nothing would start for good if the follower
-// went on waiting for the version that it read there. The unreadable one, seen again
-// late, does not count.
+// TestUnreadableRecordIsReplaced stores a record with a much higher version that can't be
+// decoded, then restores the previous one. If the follower kept waiting for the high
+// version, nothing would ever start again. The unreadable record is ignored when it
+// arrives again late.
 func TestUnreadableRecordIsReplaced(t *testing.T) {
 	_, k := newStore(t)
 	f := New(Config{Keeper: k})
@@ -233,22 +233,22 @@
 		if fleet, err := f.Refresh(context.Background()); err != nil || fleet.Version() != 1 {
 			t.Errorf("got %v, %v", fleet, err)
 		}
-		_ = f.take(late.Value, fromStore, late.Revision)
+		_ = f.apply(late.Value, fromStore, late.Revision)
 	}
-	// The one that can be read came late: the one that can't is the newer.
+	// The readable record arrives late; the unreadable one is newer.
 	put(t, k, unreadable)
 	if _, err := f.Refresh(context.Background()); !errors.As(err, &recorder.ErrUnreadable{}) {
 		t.Fatalf("got %v, want ErrUnreadable", err)
 	}
-	_ = f.take(valueOf(t, 1), fromStore, late.Revision)
+	_ = f.apply(valueOf(t, 1), fromStore, late.Revision)
 	if _, err := f.Refresh(context.Background()); !errors.As(err, &recorder.ErrUnreadable{}) {
 		t.Errorf("got %v, want ErrUnreadable", err)
 	}
 }
 
-// TestPeersHelpWhileTheStoreIsDown takes the store down right after a change was
-// accepted: a process that missed it learns it from a peer.
-func TestPeersHelpWhileTheStoreIsDown(t *testing.T) {
+// TestRecordComesFromPeerWithoutStore runs without a reachable store, as after an outage
+// right after an accepted change: a process that missed the change gets it from a peer.
+func TestRecordComesFromPeerWithoutStore(t *testing.T) {
 	store, k := newStore(t)
 	store.SetFaults(storer.Faults{Down: true})
 	tests := []struct {
@@ -269,10 +269,10 @@
 	}
 }
 
-// TestStoreThatLostItsStateIsFollowedAgain replaces the store by an empty one,
-// whose revisions begin anew: the follower must not wait for a revision that
-// will not come for long, and must not go back.
-func TestStoreThatLostItsStateIsFollowedAgain(t *testing.T) {
+// TestFollowerRecoversFromStoreReset replaces the store by an empty one whose revisions
+// start again at a low number. The follower must not wait for the store to reach the old
+// revision, and must not return to an older version.
+func TestFollowerRecoversFromStoreReset(t *testing.T) {
 	_, k := newStore(t)
 	_, empty := newStore(t)
 	f := New(Config{Keeper: k})
@@ -299,7 +299,7 @@
 
 func TestEmptyFollower(t *testing.T) {
 	f := New(Config{})
-	if diff := cmp.Diff(messenger.FleetReply{}, f.Record()); diff != "" || f.Fleet() == nil || f.Version() != 0 {
+	if diff := cmp.Diff(messenger.FleetReply{}, f.PeerReply()); diff != "" || f.Fleet() == nil || f.Version() != 0 {
 		t.Errorf("%s, version %d", diff, f.Version())
 	}
 	if _, err := f.Refresh(context.Background()); err == nil {
@@ -307,35 +307,36 @@
 	}
 }
 
-// TestSilentWatchDelaysNoChangeForLong: the connection of a waiting watch goes silent
-// without an end, in a process without peers, and a zone is taken out. Jobs start by the
-// text in force, so the zone would get starts for as long as the watch is believed in.
-func TestSilentWatchDelaysNoChangeForLong(t *testing.T) {
-	const within = 2 * time.Second
-	var silent atomic.Bool
+// TestStalledWatchDelaysChangeBriefly stalls the connection of a waiting watch without
+// closing it, in a process without peers, while the text changes. Jobs start according to
+// the current text, so a zone that was taken out would get starts until the stalled watch
+// is given up.
+func TestStalledWatchDelaysChangeBriefly(t *testing.T) {
+	const maxDelay = 2 * time.Second
+	var stallNext atomic.Bool
 	store := storer.New(storer.Config{}).Handler()
-	waits, stop := make(chan struct{}, 1), make(chan struct{})
+	stalled, release := make(chan struct{}, 1), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasSuffix(r.URL.Path, keeper.KindWatch) && silent.CompareAndSwap(true, false) {
-			waits <- struct{}{}
-			<-stop
+		if strings.HasSuffix(r.URL.Path, keeper.KindWatch) && stallNext.CompareAndSwap(true, false) {
+			stalled <- struct{}{}
+			<-release
 			return
 		}
 		store.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { close(stop); server.CloseClientConnections(); server.Close() })
+	t.Cleanup(func() { close(release); server.CloseClientConnections(); server.Close() })
 	k := keeper.New(keeper.Config{URL: server.URL, CallTimeout: 200 * time.Millisecond})
 	f := New(Config{Keeper: k})
 	run(t, f)
 	put(t, k, valueOf(t, 1))
 	waitVersion(t, f, 1)
-	silent.Store(true)
-	put(t, k, valueOf(t, 2)) // ends the watch that waits
-	<-waits
+	stallNext.Store(true)
+	put(t, k, valueOf(t, 2)) // ends the waiting watch
+	<-stalled
 	changed := time.Now()
 	put(t, k, valueOf(t, 3))
 	waitVersion(t, f, 3)
-	if took := time.Since(changed); took > within {
-		t.Errorf("in force after %s", took)
+	if took := time.Since(changed); took > maxDelay {
+		t.Errorf("applied after %s", took)
 	}
 }
--- a/internal/fleet/follower/loop.go
+++ b/internal/fleet/follower/loop.go
@@ -8,56 +8,55 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// Run watches the store and asks peers until ctx ends.
+// Run watches the store and polls peers until ctx ends.
 //
-// Peers are asked also while the store seems well: a watch whose connection was
-// cut without a reset looks the same as one that waits, and would leave this
-// process at an old version for as long as the watch lasts.
+// Peers are polled even while the store seems reachable: a watch whose connection was
+// cut without a reset looks the same as one that waits, and would keep this process
+// at an old version until the watch ends.
 func (f *Follower) Run(ctx context.Context) error {
 	peers := make(chan error, 1)
-	go func() { peers <- f.followPeers(ctx) }()
-	f.followStore(ctx)
+	go func() { peers <- f.runPeerLoop(ctx) }()
+	f.runStoreLoop(ctx)
 	return <-peers
 }
 
-func (f *Follower) followStore(ctx context.Context) {
+func (f *Follower) runStoreLoop(ctx context.Context) {
 	if f.config.Keeper == nil {
 		<-ctx.Done()
 		return
 	}
-	pause, away := firstPause, false
+	delay, unreachable := minRetryDelay, false
 	for ctx.Err() == nil {
-		err := f.follow(ctx)
+		err := f.readOrWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if (err != nil) != away {
-			away = err != nil
-			f.reportStore(err)
+		if (err != nil) != unreachable {
+			unreachable = err != nil
+			f.reportStoreState(err)
 		}
 		if err == nil {
-			pause = firstPause
+			delay = minRetryDelay
 			continue
 		}
-		// Spread the retries, so that a store that returns is not met by all
-		// processes at once.
-		wait(ctx, pause/2+rand.N(pause/2+1))
-		pause = min(2*pause, longestPause)
+		// Add jitter, so that not all processes call a recovered store at once.
+		wait(ctx, delay/2+rand.N(delay/2+1))
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// follow makes one call: a first read, or a waiting watch.
-func (f *Follower) follow(ctx context.Context) error {
+// readOrWatch makes one call: the first read, or a waiting watch.
+func (f *Follower) readOrWatch(ctx context.Context) error {
 	f.mu.Lock()
-	after, known := f.revision, f.known
+	after, storeRead := f.revision, f.storeRead
 	f.mu.Unlock()
-	if !known {
+	if !storeRead {
 		return f.read(ctx)
 	}
 	return f.watch(ctx, after, watchWait)
 }
 
-func (f *Follower) reportStore(err error) {
+func (f *Follower) reportStoreState(err error) {
 	if err == nil {
 		f.config.Reporter.Report(reporter.FleetStoreBack, reporter.Fields{"version": f.Version()})
 		return
@@ -65,25 +64,25 @@
 	f.config.Reporter.Report(reporter.FleetStoreAway, reporter.Fields{"version": f.Version(), "error": err.Error()})
 }
 
-func (f *Follower) followPeers(ctx context.Context) error {
+func (f *Follower) runPeerLoop(ctx context.Context) error {
 	if f.config.FetchFromPeer == nil {
 		return nil
 	}
 	for ctx.Err() == nil {
-		f.askPeer(ctx)
-		wait(ctx, peerInterval)
+		f.pollPeer(ctx)
+		wait(ctx, peerPollInterval)
 	}
 	return nil
 }
 
-func (f *Follower) askPeer(ctx context.Context) {
+func (f *Follower) pollPeer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := f.config.FetchFromPeer(ctx, f.Version())
 	if err != nil {
-		return // asked again soon
+		return // polled again after peerPollInterval
 	}
-	_ = f.Offer(reply) // reported there
+	_ = f.Offer(reply) // Offer logs a failure
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/internal/operator/handler/fleet.go
+++ b/internal/operator/handler/fleet.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), refreshLimit)
 	defer cancel()
 	_, err := h.config.Follower.Refresh(ctx)
-	stored := h.config.Follower.Stored()
+	stored := h.config.Follower.CurrentRecord()
 	writeJSON(w, http.StatusOK, FleetAnswer{
 		Version: stored.Version, ChangeID: stored.ChangeID, Text: stored.Text,
 		ZonesOut: append([]string{}, stored.ZonesOut...), AppliedAt: stored.AppliedAt, Stale: err != nil,
--- a/internal/service/server/serve.go
+++ b/internal/service/server/serve.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	record := s.follower.Record()
+	record := s.follower.PeerReply()
 	if record.Version <= r.Above {
 		return messenger.FleetReply{}, nil
 	}
