--- a/internal/fleet/changer/changer.go
+++ b/internal/fleet/changer/changer.go
@@ -1,6 +1,6 @@
-// Package changer writes changes of the fleet to the store. A change is accepted
-// when the store has taken it by compare-and-swap; from then on every follower
-// reads it, and no other change can take its place without having seen it.
+// Package changer writes fleet changes to the store. A change is accepted once the
+// store has applied its compare-and-swap. From then on every follower reads it, and
+// only a change that is based on it can replace it.
 package changer
 
 import (
@@ -18,7 +18,7 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// DefaultTimeout bounds a change with its settling.
+// DefaultTimeout limits a change, including the time to resolve its outcome.
 const DefaultTimeout = 8 * time.Second
 
 // Config holds the settings of a Changer.
@@ -27,20 +27,20 @@
 	Reporter *reporter.Reporter
 	Timeout  time.Duration // of one change; 0: DefaultTimeout
 	Now      func() time.Time
-	// FindText returns the text of an earlier version, to show in a conflict
+	// FindText returns the text of an earlier version, so that a conflict can list
 	// what changed since. It may be nil.
 	FindText func(version int64) (string, bool)
-	// Held returns the newest record that this process knows. If the store has
-	// lost its record, a change goes on from this one: followers take only
-	// higher versions, so a count that began anew would be in force nowhere. It
+	// LastKnown returns the newest record that this process knows. If the store
+	// has lost its record, a change continues from this one: followers apply only
+	// higher versions, so versions that restart at 1 would take effect nowhere. It
 	// may be nil.
-	Held func() recorder.Record
-	// Accepted, if set, is told of each record that this process got accepted,
-	// so that its own follower need not wait for the watch.
+	LastKnown func() recorder.Record
+	// Accepted, if set, is called with each record that the store accepted from
+	// this process, so that its own follower need not wait for the watch.
 	Accepted func(version int64, value []byte)
 }
 
-// Changer applies changes; it is safe for concurrent use.
+// Changer applies fleet changes. It is safe for concurrent use.
 type Changer struct{ config Config }
 
 // New returns a Changer.
@@ -57,14 +57,14 @@
 	return &Changer{config: c}
 }
 
-// ApplyOptions describes a new text.
+// ApplyOptions describes a new fleet text.
 type ApplyOptions struct {
 	Text     []byte
-	Base     int64  // version on which the text is based; 0: none is stored yet
-	ChangeID string // unique to this change; repeating it is harmless
+	Base     int64  // version on which the text is based; 0 if none is stored yet
+	ChangeID string // unique to this change; a repeat with the same id has no further effect
 }
 
-// Apply replaces the text of the fleet and returns the version that it wrote.
+// Apply replaces the fleet text and returns the new version.
 // Errors: finder.Findings, ErrConflict, ErrUnavailable, ErrOutcomeUnknown,
 // ErrChangeIDReused.
 func (c *Changer) Apply(ctx context.Context, o ApplyOptions) (int64, error) {
@@ -83,8 +83,8 @@
 	})
 }
 
-// SetZone takes an availability zone out or in and returns the version that it
-// wrote. It needs no base: it changes this one zone, whatever else has changed.
+// SetZone takes an availability zone out or in and returns the new version. It
+// needs no base version: it changes only this zone, regardless of other changes.
 func (c *Changer) SetZone(ctx context.Context, zone string, state describer.ZoneState, changeID string) (int64, error) {
 	digest := recorder.Digest("zone", zone, string(state))
 	return c.change(ctx, changeID, digest, func(current recorder.Record) (recorder.Record, error) {
@@ -98,7 +98,7 @@
 	})
 }
 
-// zonesOut returns the zones that are out by command after the change.
+// zonesOut returns the zones taken out by command after the change.
 func zonesOut(current recorder.Record, zone string, state describer.ZoneState) ([]string, error) {
 	if state != describer.ZoneIn && state != describer.ZoneOut {
 		return nil, fmt.Errorf("zone state %q: want in or out", state)
@@ -110,22 +110,22 @@
 			return nil, recorder.ErrUnreadable{Version: current.Version, Cause: err}
 		}
 	}
-	at := slices.IndexFunc(config.Zones, func(z describer.Zone) bool { return z.Name == zone })
+	i := slices.IndexFunc(config.Zones, func(z describer.Zone) bool { return z.Name == zone })
 	out := slices.DeleteFunc(slices.Clone(current.ZonesOut), func(z string) bool { return z == zone })
 	switch {
-	case at < 0 && len(out) == len(current.ZonesOut):
+	case i < 0 && len(out) == len(current.ZonesOut):
 		return nil, ErrZoneNotExist{Zone: zone}
 	case state == describer.ZoneOut:
 		return append(out, zone), nil
-	case at >= 0 && config.Zones[at].State == describer.ZoneOut:
+	case i >= 0 && config.Zones[i].State == describer.ZoneOut:
 		return nil, ErrZoneOutInText{Zone: zone}
 	}
 	return out, nil
 }
 
-// change reads the record, lets edit make the next one, and swaps. A swap that
-// loses a race starts over with the winner's record; edit decides whether the
-// change still makes sense on it.
+// change reads the record, calls edit to build the next one, and swaps them. If
+// another change wins the race, it starts over with the winner's record; edit
+// decides whether the change still applies to it.
 func (c *Changer) change(ctx context.Context, id, digest string, edit func(recorder.Record) (recorder.Record, error)) (int64, error) {
 	if id == "" {
 		return 0, errors.New("the change id is missing")
@@ -134,7 +134,7 @@
 	defer cancel()
 	stored, err := c.config.Keeper.GetRecord(ctx, recorder.Key)
 	if err != nil && !keeper.IsErrKeyNotExist(err) {
-		// A read has no effect, also if its answer was lost.
+		// A read has no effect even if its answer was lost.
 		return 0, ErrUnavailable{Cause: err}
 	}
 	for {
@@ -142,10 +142,10 @@
 		if err != nil {
 			return 0, err
 		}
-		// The change id may have been accepted before: by a lost answer of an
-		// earlier try, through this entry or another. Answering with its version
-		// makes a repeat harmless; without this the repeat would see a conflict
-		// with itself and tell the operator that nothing had changed.
+		// An earlier attempt with this change id, through this entry or another, may
+		// have been accepted although its answer was lost. A repeat returns the
+		// version of that attempt; otherwise it would conflict with itself and
+		// report to the operator that nothing had changed.
 		if done, ok := current.FindChange(id); ok {
 			if done.Digest != digest {
 				return 0, ErrChangeIDReused{ChangeID: id, Version: done.Version}
@@ -156,20 +156,20 @@
 		if err != nil {
 			return 0, err
 		}
-		won, raced, err := c.swap(ctx, stored.Revision, next)
+		swapped, winner, err := c.swap(ctx, stored.Revision, next)
 		if err != nil {
 			return 0, err
 		}
-		if won {
+		if swapped {
 			return next.Version, nil
 		}
-		stored = raced
+		stored = winner
 	}
 }
 
 // swap writes next if the record is still at revision. If another change came
-// first it returns the record that stands.
-func (c *Changer) swap(ctx context.Context, revision int64, next recorder.Record) (won bool, raced keeper.Record, err error) {
+// first, it returns the stored record.
+func (c *Changer) swap(ctx context.Context, revision int64, next recorder.Record) (swapped bool, winner keeper.Record, err error) {
 	value, err := recorder.Encode(next)
 	if err != nil {
 		return false, keeper.Record{}, err
@@ -192,17 +192,17 @@
 	return false, keeper.Record{}, ErrUnavailable{Cause: err}
 }
 
-// decode decodes a stored record; one that does not exist is version 0, or what
-// this process held before it was lost.
+// decode decodes a stored record. If none exists, it returns the last record that
+// this process knows, or version 0.
 func (c *Changer) decode(stored keeper.Record) (recorder.Record, error) {
 	if stored.Revision == 0 {
-		if c.config.Held != nil {
-			return c.config.Held(), nil
+		if c.config.LastKnown != nil {
+			return c.config.LastKnown(), nil
 		}
 		return recorder.Record{}, nil
 	}
-	// A record that this program can't read may hold what it would destroy by
-	// writing over it.
+	// A record that this program can't decode must not be overwritten: it may hold
+	// data that would be lost.
 	r, _, err := recorder.Decode(stored.Value)
 	return r, err
 }
--- a/internal/operator/requester/requester_test.go
+++ b/internal/operator/requester/requester_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	k := keeper.New(keeper.Config{URL: storeURL, CallTimeout: 100 * time.Millisecond})
 	f := follower.New(follower.Config{Keeper: k})
-	c := changer.New(changer.Config{Keeper: k, Timeout: 400 * time.Millisecond, FindText: f.FindText, Held: f.CurrentRecord})
+	c := changer.New(changer.Config{Keeper: k, Timeout: 400 * time.Millisecond, FindText: f.FindText, LastKnown: f.CurrentRecord})
 	h := handler.New(handler.Config{Cell: "main", Changer: c, Follower: f, CallCell: func(_ context.Context, _, method string, params, result any) error {
 		return call(method, params, result)
 	}})
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -149,7 +149,7 @@
 		CallCell: s.forwarder.CallCell, Reporter: c.Reporter, Metrics: s.metrics,
 	})
 	changes := changer.New(changer.Config{
-		Keeper: s.keeper, Reporter: c.Reporter, FindText: s.follower.FindText, Held: s.follower.CurrentRecord,
+		Keeper: s.keeper, Reporter: c.Reporter, FindText: s.follower.FindText, LastKnown: s.follower.CurrentRecord,
 		Accepted: func(version int64, value []byte) {
 			_ = s.follower.Offer(messenger.FleetReply{Version: version, Record: value}) // reported there
 		},
