--- a/internal/service/enroller/enroller.go
+++ b/internal/service/enroller/enroller.go
@@ -1,6 +1,6 @@
-// Package enroller keeps the list of live entries. An entry writes its address
-// to the platform's store under a lease and exchanges lists with the entries it
-// reaches, so that the list also holds while the store is down.
+// Package enroller maintains the list of live entries. An entry writes its address
+// to the platform's store under a lease and exchanges lists with the entries that it
+// reaches, so that the list stays current while the store is down.
 package enroller
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	keyPrefix       = "entries/"
-	exchangeEvery   = time.Second
-	callLimit       = time.Second
-	liveFor         = 5 * time.Second  // an entry counts as live this long after the last exchange
-	candidateFor    = 60 * time.Second // an address is tried this long after it was last named
-	listEvery       = 5 * time.Second
-	registrationTTL = 15 * time.Second
+	keyPrefix        = "entries/"
+	exchangeInterval = time.Second
+	callTimeout      = time.Second
+	liveTTL          = 5 * time.Second  // an entry is live for this long after its last exchange
+	candidateTTL     = 60 * time.Second // an address is tried for this long after it was last mentioned
+	listInterval     = 5 * time.Second
+	registrationTTL  = 15 * time.Second
 )
 
 // Config holds the settings of an Enroller.
@@ -32,26 +32,27 @@
 	Self         messenger.PeerAddress
 	Seeds        []string // RPC addresses of entries, for a start while the store is down
 	Keeper       *keeper.Keeper
-	Handle       connector.Handler // answers calls that a peer sends back on a dialled connection
-	OwnOwner     func() (messenger.CellOwner, bool)
+	Handle       connector.Handler // handles calls from a peer on a connection that this entry dialled
+	LocalOwner   func() (messenger.CellOwner, bool)
 	FleetVersion func() int64
 	Reporter     *reporter.Reporter
 	Now          func() time.Time
 }
 
-// peer is an entry that was named by the store, a seed or another entry.
+// peer is an entry that is registered in the store, given as a seed, or mentioned by
+// another entry.
 type peer struct {
-	id       string
-	address  string
-	named    time.Time
-	heard    time.Time // of the last exchange; zero: never reached
-	version  int64     // highest fleet version that it reported
-	conn     *connector.Conn
-	isSeed   bool
-	inFlight bool
+	id            string
+	address       string
+	lastMentioned time.Time
+	lastContact   time.Time // time of the last exchange; zero: never reached
+	version       int64     // highest fleet version that the peer reported
+	conn          *connector.Conn
+	isSeed        bool
+	inFlight      bool
 }
 
-// Enroller owns the list. It is safe for concurrent use.
+// Enroller holds the list of entries. It is safe for concurrent use.
 type Enroller struct {
 	config Config
 	mu     sync.Mutex
@@ -60,7 +61,7 @@
 	lease  int64
 }
 
-// New returns an Enroller that knows only itself and its seeds.
+// New returns an Enroller whose list holds only this entry and the seeds.
 func New(c Config) *Enroller {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -74,12 +75,12 @@
 	return e
 }
 
-// Run registers the entry and exchanges lists until ctx ends; then it removes
-// the registration.
+// Run registers the entry and exchanges lists until ctx ends, then removes the
+// registration.
 func (e *Enroller) Run(ctx context.Context) error {
 	registered := make(chan error, 1)
 	go func() { registered <- e.keepRegistered(ctx) }()
-	ticker := time.NewTicker(exchangeEvery)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
 		e.exchangeAll(ctx)
@@ -91,7 +92,7 @@
 	}
 }
 
-// Peers returns the live entries, this one included, by id.
+// Peers returns the live entries including this one, sorted by id.
 func (e *Enroller) Peers() []messenger.PeerAddress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,11 +106,11 @@
 	return list
 }
 
-// Owners returns the owner with the highest epoch known of each cell.
+// Owners returns the owner with the highest known epoch for each cell.
 func (e *Enroller) Owners() []messenger.CellOwner {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteOwnOwner()
+	e.updateLocalOwner()
 	list := make([]messenger.CellOwner, 0, len(e.owners))
 	for _, o := range e.owners {
 		list = append(list, o)
@@ -118,11 +119,11 @@
 	return list
 }
 
-// Owner returns the owner of a cell as far as it is known.
+// Owner returns the owner of a cell, if it is known.
 func (e *Enroller) Owner(cell string) (messenger.CellOwner, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteOwnOwner()
+	e.updateLocalOwner()
 	o, ok := e.owners[cell]
 	return o, ok
 }
@@ -134,21 +135,21 @@
 		return nil, err
 	}
 	e.mu.Lock()
-	p := e.name(r.From)
+	p := e.ensurePeer(r.From)
 	p.version = max(p.version, r.FleetVersion)
 	e.mu.Unlock()
 	return e.Reply(), nil
 }
 
-// Reply returns what this entry tells others of the system.
+// Reply returns the live entries, owners and fleet version known to this entry.
 func (e *Enroller) Reply() messenger.AnnounceReply {
 	return messenger.AnnounceReply{
 		EntryID: e.config.Self.EntryID, Peers: e.Peers(), Owners: e.Owners(), FleetVersion: e.config.FleetVersion(),
 	}
 }
 
-// FetchFleet asks the live entry with the highest version for a fleet record
-// above the given version.
+// FetchFleet requests a fleet record above the given version from the live entry with
+// the highest reported version.
 func (e *Enroller) FetchFleet(ctx context.Context, above int64) (messenger.FleetReply, error) {
 	e.mu.Lock()
 	var best *peer
@@ -170,7 +171,7 @@
 	return reply, err
 }
 
-// Call calls the entry at an RPC address over the connection kept for it.
+// Call calls the entry at an RPC address over its cached connection.
 func (e *Enroller) Call(ctx context.Context, address, method string, params, result any) error {
 	conn, err := e.connect(ctx, address)
 	if err != nil {
@@ -181,7 +182,7 @@
 
 func (e *Enroller) connect(ctx context.Context, address string) (*connector.Conn, error) {
 	e.mu.Lock()
-	p := e.name(messenger.PeerAddress{Address: address})
+	p := e.ensurePeer(messenger.PeerAddress{Address: address})
 	conn := p.conn
 	e.mu.Unlock()
 	if conn != nil {
@@ -198,21 +199,22 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if p.conn != nil && p.conn != conn {
-		dialled.Close() // another call was faster
+		dialled.Close() // another call has connected in the meantime
 		return p.conn, nil
 	}
 	p.conn = dialled
 	return dialled, nil
 }
 
-// name notes that an entry was named and returns its record. The caller holds mu.
-func (e *Enroller) name(a messenger.PeerAddress) *peer {
+// ensurePeer returns the peer for an address, adds it if missing, and updates its
+// lastMentioned time. The caller holds mu.
+func (e *Enroller) ensurePeer(a messenger.PeerAddress) *peer {
 	p, ok := e.peers[a.Address]
 	if !ok {
 		p = &peer{address: a.Address}
 		e.peers[a.Address] = p
 	}
-	p.named = e.config.Now()
+	p.lastMentioned = e.config.Now()
 	if a.EntryID != "" {
 		p.id = a.EntryID
 	}
@@ -220,25 +222,26 @@
 }
 
 func (e *Enroller) isLive(p *peer) bool {
-	return p.id != "" && !p.heard.IsZero() && e.config.Now().Sub(p.heard) < liveFor
+	return p.id != "" && !p.lastContact.IsZero() && e.config.Now().Sub(p.lastContact) < liveTTL
 }
 
-// noteOwnOwner takes over what the own controller knows. The caller holds mu.
-func (e *Enroller) noteOwnOwner() {
-	if own, ok := e.config.OwnOwner(); ok {
-		e.noteOwner(own)
+// updateLocalOwner updates the owner of the cell that this entry owns, if any. The
+// caller holds mu.
+func (e *Enroller) updateLocalOwner() {
+	if local, ok := e.config.LocalOwner(); ok {
+		e.updateOwner(local)
 	}
 }
 
-// noteOwner keeps the owner with the highest epoch. The caller holds mu.
-func (e *Enroller) noteOwner(o messenger.CellOwner) {
-	if known, ok := e.owners[o.Cell]; !ok || o.Epoch > known.Epoch {
+// updateOwner keeps the owner with the highest epoch. The caller holds mu.
+func (e *Enroller) updateOwner(o messenger.CellOwner) {
+	if current, ok := e.owners[o.Cell]; !ok || o.Epoch > current.Epoch {
 		e.owners[o.Cell] = o
 	}
 }
 
-// exchangeAll begins an exchange with each known entry that has none under way.
-// Each runs on its own, so that a frozen entry delays only its own.
+// exchangeAll starts an exchange with each known entry that has none in flight. Each
+// runs in its own goroutine, so that a frozen entry delays no other exchange.
 func (e *Enroller) exchangeAll(ctx context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -248,7 +251,7 @@
 			delete(e.peers, address)
 			continue
 		}
-		if !p.isSeed && now.Sub(p.named) > candidateFor && now.Sub(p.heard) > candidateFor {
+		if !p.isSeed && now.Sub(p.lastMentioned) > candidateTTL && now.Sub(p.lastContact) > candidateTTL {
 			if p.conn != nil {
 				p.conn.Close()
 			}
@@ -262,9 +265,10 @@
 	}
 }
 
-// exchange ends by itself within callLimit and reports its end through inFlight.
+// exchange exchanges lists with one entry. It ends within callTimeout and then clears
+// inFlight.
 func (e *Enroller) exchange(ctx context.Context, p *peer) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply messenger.AnnounceReply
 	request := messenger.PeersRequest{From: e.config.Self, FleetVersion: e.config.FleetVersion()}
@@ -273,29 +277,30 @@
 	defer e.mu.Unlock()
 	p.inFlight = false
 	if err != nil {
-		// A connection that carries no answer may lead to a frozen or replaced
-		// process; a new one is dialled at the next exchange.
+		// A connection without an answer may lead to a frozen or replaced process; the
+		// next exchange dials a new one.
 		if p.conn != nil {
 			p.conn.Close()
 			p.conn = nil
 		}
 		return
 	}
-	p.id, p.heard = reply.EntryID, e.config.Now()
+	p.id, p.lastContact = reply.EntryID, e.config.Now()
 	p.version = max(p.version, reply.FleetVersion)
 	for _, o := range reply.Owners {
-		e.noteOwner(o)
+		e.updateOwner(o)
 	}
 	for _, other := range reply.Peers {
 		if _, known := e.peers[other.Address]; !known && other.Address != e.config.Self.Address {
-			e.name(other)
+			e.ensurePeer(other)
 		}
 	}
 }
 
-// keepRegistered holds the entry's record in the store and reads the others'.
+// keepRegistered maintains the entry's record in the store and reads the records of the
+// other entries.
 func (e *Enroller) keepRegistered(ctx context.Context) error {
-	ticker := time.NewTicker(listEvery)
+	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for {
 		if err := e.register(ctx); err != nil && ctx.Err() == nil {
@@ -328,23 +333,23 @@
 	if err != nil {
 		return fmt.Errorf("list entries: %w", err)
 	}
-	return e.takeRecords(ctx, found.Records)
+	return e.applyRecords(ctx, found.Records)
 }
 
-// takeRecords names the registered entries and writes the own record where it is
-// missing, or belongs to an earlier run of this process.
-func (e *Enroller) takeRecords(ctx context.Context, records []keeper.Record) error {
+// applyRecords adds the registered entries as peers. It writes this entry's own record
+// if that is missing or belongs to an earlier process of the entry.
+func (e *Enroller) applyRecords(ctx context.Context, records []keeper.Record) error {
 	own := keeper.Record{}
 	e.mu.Lock()
 	for _, r := range records {
 		var a messenger.PeerAddress
 		if err := json.Unmarshal(r.Value, &a); err != nil {
-			continue // written by a newer version; the exchange still finds it
+			continue // written by a newer program version; the exchange still finds the entry
 		}
 		if a.EntryID == e.config.Self.EntryID {
 			own = r
 		} else if a.Address != e.config.Self.Address {
-			e.name(a)
+			e.ensurePeer(a)
 		}
 	}
 	e.mu.Unlock()
@@ -375,10 +380,10 @@
 	if e.lease == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	// Left to run out if this fails; the exchange has stopped, so no entry
-	// counts this one as live for longer than liveFor.
+	// If this fails, the lease expires. The exchanges have stopped, so no entry lists
+	// this one as live for longer than liveTTL.
 	_ = e.config.Keeper.RevokeLease(ctx, e.lease)
 	return nil
 }
--- a/internal/service/enroller/enroller_test.go
+++ b/internal/service/enroller/enroller_test.go
@@ -10,30 +10,30 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// The record of an entry goes with a lease that lapsed, or is deleted by somebody, or is
-// that of an earlier process of the entry, whose lease ends soon: the entry writes it
-// again at its next look.
-func TestRegistrationIsWrittenAgain(t *testing.T) {
+// TestRegistrationIsRestored removes the record of an entry with an expired lease, deletes
+// it, or replaces it by that of an earlier process of the entry, whose lease ends soon. The
+// entry must write its record again at the next poll.
+func TestRegistrationIsRestored(t *testing.T) {
 	tests := []struct {
-		name string
-		lose func(t *testing.T, k *keeper.Keeper, e *Enroller, stands keeper.Record)
+		name       string
+		invalidate func(t *testing.T, k *keeper.Keeper, e *Enroller, stored keeper.Record)
 	}{
-		{"its lease has lapsed", func(t *testing.T, k *keeper.Keeper, e *Enroller, _ keeper.Record) {
+		{"lease expired", func(t *testing.T, k *keeper.Keeper, e *Enroller, _ keeper.Record) {
 			if err := k.RevokeLease(t.Context(), e.lease); err != nil {
 				t.Fatal(err)
 			}
 		}},
-		{"deleted", func(t *testing.T, k *keeper.Keeper, _ *Enroller, stands keeper.Record) {
-			if err := k.DeleteRecord(t.Context(), stands.Key, stands.Revision); err != nil {
+		{"deleted", func(t *testing.T, k *keeper.Keeper, _ *Enroller, stored keeper.Record) {
+			if err := k.DeleteRecord(t.Context(), stored.Key, stored.Revision); err != nil {
 				t.Fatal(err)
 			}
 		}},
-		{"of an earlier process", func(t *testing.T, k *keeper.Keeper, _ *Enroller, stands keeper.Record) {
+		{"written by an earlier process", func(t *testing.T, k *keeper.Keeper, _ *Enroller, stored keeper.Record) {
 			lease, err := k.GrantLease(t.Context(), time.Minute)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := k.CompareAndSwap(t.Context(), keeper.SwapOptions{Key: stands.Key, Value: stands.Value, ExpectRevision: stands.Revision, Lease: lease.ID}); err != nil {
+			if _, err := k.CompareAndSwap(t.Context(), keeper.SwapOptions{Key: stored.Key, Value: stored.Value, ExpectRevision: stored.Revision, Lease: lease.ID}); err != nil {
 				t.Fatal(err)
 			}
 		}},
@@ -58,9 +58,9 @@
 			}
 			first := register()
 			if again := register(); again.Revision != first.Revision {
-				t.Error("a record that stands was written again")
+				t.Error("an unchanged record was written again")
 			}
-			tt.lose(t, k, e, first)
+			tt.invalidate(t, k, e, first)
 			if record := register(); record.Lease != e.lease {
 				t.Errorf("the record is under lease %d, the entry renews %d", record.Lease, e.lease)
 			}
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -122,7 +122,7 @@
 	s.enroller = enroller.New(enroller.Config{
 		Self:  messenger.PeerAddress{EntryID: c.ID, Address: c.Advertise},
 		Seeds: c.Peers, Keeper: s.keeper, Handle: s.handleRPC,
-		OwnOwner: s.ownOwner, FleetVersion: s.follower.Version, Reporter: c.Reporter,
+		LocalOwner: s.localOwner, FleetVersion: s.follower.Version, Reporter: c.Reporter,
 	})
 	known := learner.New(learner.Config{Objective: s.latencyObjective})
 	s.controller = controller.New(controller.Config{
@@ -180,7 +180,7 @@
 	}
 }
 
-func (s *Server) ownOwner() (messenger.CellOwner, bool) {
+func (s *Server) localOwner() (messenger.CellOwner, bool) {
 	if !s.config.MayOwn {
 		return messenger.CellOwner{}, false
 	}
