--- a/internal/service/forwarder/forwarder.go
+++ b/internal/service/forwarder/forwarder.go
@@ -1,4 +1,4 @@
-// Package forwarder brings calls to the owner of a cell, wherever it runs.
+// Package forwarder routes calls to the owner of a cell, in this process or another.
 package forwarder
 
 import (
@@ -10,11 +10,11 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Config holds the seams of a Forwarder.
+// Config holds the dependencies of a Forwarder.
 type Config struct {
 	EntryID string
 	Owner   func(cell string) (messenger.CellOwner, bool)
-	// Local answers when this process is the owner.
+	// Local handles the call if this process is the owner.
 	Local func(ctx context.Context, method string, params json.RawMessage) (any, error)
 	// Call calls another entry at its RPC address.
 	Call func(ctx context.Context, address, method string, params, result any) error
@@ -26,13 +26,13 @@
 // New returns a Forwarder.
 func New(c Config) *Forwarder { return &Forwarder{config: c} }
 
-// CallCell calls a cell/* method at the owner and decodes the answer into
-// result, a pointer. A connector.Error with CodeUnavailable or CodeNotOwner
-// means that nothing was done; an error without a code, that it is not known.
+// CallCell calls a cell/* method of the owner and decodes the answer into result, a
+// pointer. A connector.Error with CodeUnavailable or CodeNotOwner means that nothing
+// was done; after an error without a code the outcome is unknown.
 func (f *Forwarder) CallCell(ctx context.Context, cell, method string, params, result any) error {
 	owner, ok := f.config.Owner(cell)
 	if !ok {
-		return connector.Errorf(messenger.CodeUnavailable, "cell %s has no owner now", cell)
+		return connector.Errorf(messenger.CodeUnavailable, "cell %s has no known owner", cell)
 	}
 	if owner.EntryID != f.config.EntryID {
 		return f.config.Call(ctx, owner.Address, method, params, result)
@@ -48,8 +48,8 @@
 	return copyAnswer(answer, result)
 }
 
-// copyAnswer moves a local answer by the same encoding that it has on the wire,
-// so that both ways behave alike.
+// copyAnswer copies a local answer through its wire encoding, so that local and remote
+// calls behave the same.
 func copyAnswer(answer, result any) error {
 	encoded, err := json.Marshal(answer)
 	if err != nil {
