--- a/internal/service/server/jobs.go
+++ b/internal/service/server/jobs.go
@@ -18,14 +18,15 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// jobs is the entry's part for jobs of steps.
+// jobs holds the entry's components for jobs of steps.
 type jobs struct {
 	scheduler *scheduler.Scheduler
 	forwarder *forwarder.Forwarder
 	receiver  *receiver.Receiver
 }
 
-// buildJobs builds the part for jobs on the entry's own store client and fleet text.
+// buildJobs builds the components for jobs, which use the entry's store client and fleet
+// text.
 func (s *Server) buildJobs() {
 	c := s.config
 	observed := observer.New(timekeeper.Now)
@@ -47,13 +48,13 @@
 	})
 	s.jobs.receiver = receiver.New(receiver.Config{
 		Store: calls, StoreLost: observed.Lost,
-		StoreAge:  func() time.Duration { return 0 }, // waiting watches of seconds are all that is sure to be sent
+		StoreAge:  func() time.Duration { return 0 }, // the only calls sure to be sent are watches that wait for seconds
 		CallOwner: s.jobs.forwarder.Call, NotDone: forwarder.NotDone, NotOwner: forwarder.NotOwner, Now: timekeeper.Now, Reporter: c.Reporter,
 	})
 }
 
-// policyOf reads queues and zones from the fleet text in force. The same policy is
-// returned until the text changes.
+// policyOf returns a function that builds the policy of queues and zones from the current
+// fleet text. The function returns the same policy until the text changes.
 func policyOf(fleet func() *describer.Fleet) func() *specifier.Policy {
 	var last atomic.Pointer[specifier.Policy]
 	last.Store(&specifier.Policy{})
--- a/internal/service/server/serve.go
+++ b/internal/service/server/serve.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	headerLimit  = 10 * time.Second // to read a request's header
-	refusalGrace = 500 * time.Millisecond
+	headerTimeout  = 10 * time.Second       // for reading a request's header
+	readinessGrace = 500 * time.Millisecond // from not ready to the start of the drain
 )
 
 // serveHTTP serves callers and operators until ctx ends.
@@ -26,7 +26,7 @@
 	mux.HandleFunc("GET /metrics", s.writeMetrics)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET /readyz", s.writeReady)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerLimit}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	served := make(chan error, 1)
 	s.ready.Store(true)
 	go func() { served <- server.Serve(s.http) }()
@@ -44,13 +44,13 @@
 	return err
 }
 
-// drainRequests turns readiness off first, so that the platform's balancer
-// sends new callers elsewhere, and then waits for the requests in flight.
+// drainRequests first reports not ready, so that the platform's balancer sends new
+// callers elsewhere, and then waits for the requests in flight.
 func (s *Server) drainRequests(ctx context.Context) error {
 	s.ready.Store(false)
 	select {
 	case <-ctx.Done():
-	case <-time.After(refusalGrace):
+	case <-time.After(readinessGrace):
 	}
 	return s.receiver.Drain(ctx)
 }
@@ -70,18 +70,18 @@
 }
 
 func (s *Server) writeReady(w http.ResponseWriter, _ *http.Request) {
-	// An entry that started while the store is away refuses every request until a
-	// peer gave it the fleet record; until then callers are better off elsewhere.
-	state := readiness{
+	// An entry that starts while the store is unreachable rejects all requests until it
+	// gets the fleet record from a peer; until then callers should use other entries.
+	body := readiness{
 		Ready: s.ready.Load() && s.follower.Known(), ID: s.config.ID, FleetVersion: s.follower.Version(),
 		Peers: s.enroller.Peers(), Owners: s.enroller.Owners(),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if !state.Ready {
+	if !body.Ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	// A reader that went away needs no answer.
-	_ = json.NewEncoder(w).Encode(state)
+	// The client may have disconnected, so a write error is ignored.
+	_ = json.NewEncoder(w).Encode(body)
 }
 
 // serveRPC serves agents and entries until ctx ends.
@@ -89,7 +89,7 @@
 	return connector.Serve(ctx, s.rpc, s.handleRPC, nil)
 }
 
-// handleRPC answers a call by the part that its method names.
+// handleRPC dispatches a call by its method.
 func (s *Server) handleRPC(ctx context.Context, c *connector.Conn, method string, params json.RawMessage) (any, error) {
 	switch {
 	case method == messenger.MethodAnnounce, method == messenger.MethodHeartbeat:
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -1,5 +1,5 @@
-// Package server assembles the entry: it serves callers and operators over HTTP,
-// holds the sessions of agents, and may own a cell.
+// Package server assembles the entry process, which serves callers and operators over
+// HTTP, holds the sessions of agents, and may own a cell.
 package server
 
 import (
@@ -27,8 +27,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// handOverLimit bounds the orderly end of an ownership in a planned stop.
-const handOverLimit = 3 * time.Second
+// releaseTimeout limits the release of the cell ownership in a planned stop.
+const releaseTimeout = 3 * time.Second
 
 // Names of the entry's services in its registrar.
 const (
@@ -48,15 +48,15 @@
 	ID          string
 	Listen      string   // HTTP, host:port
 	RPCListen   string   // JSON-RPC, host:port
-	Advertise   string   // RPC address told to others; empty: the listener's own
+	Advertise   string   // RPC address advertised to agents and entries; empty: that of the listener
 	Zone        string   // availability zone of this VM
-	Peers       []string // RPC addresses of entries to ask first
+	Peers       []string // RPC addresses of entries to contact first
 	StoreURL    string
 	Cell        string
-	MayOwn      bool // competes for the ownership of the cell
+	MayOwn      bool // the entry may claim the ownership of the cell
 	OwnerLease  time.Duration
 	VMLease     time.Duration
-	OutageLease time.Duration // 0: as the fleet text says
+	OutageLease time.Duration // 0: the value of the fleet text
 	StopLimit   time.Duration
 	Reporter    *reporter.Reporter
 }
@@ -79,7 +79,7 @@
 	ready      atomic.Bool
 }
 
-// New opens the listeners and builds the parts; Run starts them.
+// New opens the listeners and builds the components; Run starts them.
 func New(c Config) (*Server, error) {
 	s := &Server{config: c, metrics: metrics.NewSet()}
 	var err error
@@ -100,17 +100,18 @@
 	return s, nil
 }
 
-// HTTPAddress returns the address at which callers and operators are served.
+// HTTPAddress returns the listen address for callers and operators.
 func (s *Server) HTTPAddress() string { return s.http.Addr().String() }
 
-// RPCAddress returns the address told to agents and entries.
+// RPCAddress returns the RPC address advertised to agents and entries.
 func (s *Server) RPCAddress() string { return s.config.Advertise }
 
 func (s *Server) countStoreCall(kind string) {
 	s.metrics.GetOrCreateCounter(fmt.Sprintf("bamboospread_store_calls_total{kind=%q}", kind)).Inc()
 }
 
-// buildControl builds what agrees and keeps: configuration, membership, cell.
+// buildControl builds the components for the fleet configuration, the membership of
+// entries, and the cell.
 func (s *Server) buildControl() {
 	c := s.config
 	s.follower = follower.New(follower.Config{
@@ -124,12 +125,12 @@
 		Seeds: c.Peers, Keeper: s.keeper, Handle: s.handleRPC,
 		LocalOwner: s.localOwner, FleetVersion: s.follower.Version, Reporter: c.Reporter,
 	})
-	known := learner.New(learner.Config{Objective: s.latencyObjective})
+	interference := learner.New(learner.Config{Objective: s.latencyObjective})
 	s.controller = controller.New(controller.Config{
 		Cell: c.Cell, EntryID: c.ID, RPCAddress: c.Advertise, Keeper: s.keeper,
 		Refresh: s.follower.Refresh, Fleet: s.follower.Fleet, Reporter: c.Reporter, Metrics: s.metrics,
-		Placer: placer.New(placer.Config{}), Observe: observe(known),
-		Interference: known.Interference, Pressure: known.Pressure, Recent: known.Recent,
+		Placer: placer.New(placer.Config{}), Observe: observeBatch(interference),
+		Interference: interference.Interference, Pressure: interference.Pressure, Recent: interference.Recent,
 		OwnerLease: c.OwnerLease, VMLease: c.VMLease, OutageLease: c.OutageLease,
 	})
 	s.forwarder = forwarder.New(forwarder.Config{
@@ -137,7 +138,7 @@
 	})
 }
 
-// buildRequests builds what serves callers and operators.
+// buildRequests builds the components that serve callers and operators.
 func (s *Server) buildRequests() {
 	c := s.config
 	s.tracker = tracker.New(tracker.Config{
@@ -151,7 +152,7 @@
 	changes := changer.New(changer.Config{
 		Keeper: s.keeper, Reporter: c.Reporter, FindText: s.follower.FindText, LastKnown: s.follower.CurrentRecord,
 		Accepted: func(version int64, value []byte) {
-			_ = s.follower.Offer(messenger.FleetReply{Version: version, Record: value}) // reported there
+			_ = s.follower.Offer(messenger.FleetReply{Version: version, Record: value}) // Offer logs a failure
 		},
 	})
 	s.operator = handler.New(handler.Config{
@@ -166,9 +167,10 @@
 	return found.LatencyObjective
 }
 
-// observe gives the learner what the controller knows of a window. Replicas of
-// services are left out: only batch tasks are learned as disturbers.
-func observe(known *learner.Learner) func(string, messenger.Usage, []controller.Placement) {
+// observeBatch returns a function that passes a usage window and its placements to the
+// learner. Replicas of services are left out: only batch tasks are learned as sources of
+// interference.
+func observeBatch(interference *learner.Learner) func(string, messenger.Usage, []controller.Placement) {
 	return func(vm string, usage messenger.Usage, placed []controller.Placement) {
 		batch := make([]learner.Placement, 0, len(placed))
 		for _, p := range placed {
@@ -176,7 +178,7 @@
 				batch = append(batch, learner.Placement{TaskID: p.TaskID, Class: p.Class, From: p.From, To: p.To, Percent: p.Percent})
 			}
 		}
-		known.Observe(vm, usage, batch)
+		interference.Observe(vm, usage, batch)
 	}
 }
 
@@ -187,32 +189,31 @@
 	return s.controller.Owner()
 }
 
-// Run serves until ctx ends, then drains and stops within the stop limit.
+// Run serves until ctx ends, then drains and stops within StopLimit.
 func (s *Server) Run(ctx context.Context) error {
 	r := registrar.New(registrar.Config{Reporter: s.config.Reporter, StopLimit: s.config.StopLimit})
-	r.Add(part(serviceFollower, s.follower, s.follower.Run, nil))
-	r.Add(part(serviceEnroller, s.enroller, s.enroller.Run, nil, serviceFollower))
-	r.Add(part(serviceTracker, s.tracker, s.tracker.Run, nil, serviceEnroller))
+	r.Add(prebuiltService(serviceFollower, s.follower, s.follower.Run, nil))
+	r.Add(prebuiltService(serviceEnroller, s.enroller, s.enroller.Run, nil, serviceFollower))
+	r.Add(prebuiltService(serviceTracker, s.tracker, s.tracker.Run, nil, serviceEnroller))
 	if s.config.MayOwn {
-		r.Add(part(serviceController, s.controller, s.controller.Run, s.handOver, serviceFollower))
-		r.Add(part(serviceJobs, s.jobs.scheduler, s.jobs.scheduler.Run, nil, serviceFollower))
+		r.Add(prebuiltService(serviceController, s.controller, s.controller.Run, s.releaseOwnership, serviceFollower))
+		r.Add(prebuiltService(serviceJobs, s.jobs.scheduler, s.jobs.scheduler.Run, nil, serviceFollower))
 	}
-	r.Add(part(serviceJobsForwarder, s.jobs.forwarder, s.jobs.forwarder.Run, nil, serviceFollower))
-	r.Add(part(serviceReceiver, s.receiver, nil, s.drainRequests, serviceTracker))
-	r.Add(part(serviceRPC, s.rpc, s.serveRPC, nil, serviceTracker))
-	r.Add(part(serviceHTTP, s.http, s.serveHTTP, nil, serviceReceiver, serviceRPC))
+	r.Add(prebuiltService(serviceJobsForwarder, s.jobs.forwarder, s.jobs.forwarder.Run, nil, serviceFollower))
+	r.Add(prebuiltService(serviceReceiver, s.receiver, nil, s.drainRequests, serviceTracker))
+	r.Add(prebuiltService(serviceRPC, s.rpc, s.serveRPC, nil, serviceTracker))
+	r.Add(prebuiltService(serviceHTTP, s.http, s.serveHTTP, nil, serviceReceiver, serviceRPC))
 	s.config.Reporter.Report(reporter.Listening, reporter.Fields{
 		"http": s.HTTPAddress(), "rpc": s.rpc.Addr().String(), "advertise": s.config.Advertise,
 	})
 	return r.Run(ctx)
 }
 
-// handOver gives the ownership of the cell up. With the store away it can't be
-// given up in order; waiting for the store would hold the stop up to its limit and
-// end it as failed. The lease then runs out by itself, and what was not yet
-// journalled was not yet answered.
-func (s *Server) handOver(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit)
+// releaseOwnership releases the ownership of the cell. While the store is unreachable
+// that is not possible; waiting for the store would delay the stop to its limit and make
+// it fail. The lease then expires, and nothing was answered that is not in the journal.
+func (s *Server) releaseOwnership(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := s.controller.Drain(ctx); err != nil {
 		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"cell": s.config.Cell, "error": err.Error()})
@@ -220,8 +221,8 @@
 	return nil
 }
 
-// part describes a service whose value is built before it starts.
-func part(name string, value any, run, drain func(context.Context) error, needs ...string) registrar.Service {
+// prebuiltService returns a service whose value exists before it starts.
+func prebuiltService(name string, value any, run, drain func(context.Context) error, needs ...string) registrar.Service {
 	return registrar.Service{
 		Name: name, Needs: needs, Run: run, Drain: drain,
 		Start: func(context.Context, *registrar.Registrar) (any, error) { return value, nil },
