--- a/internal/service/agent/agent.go
+++ b/internal/service/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent assembles the agent: the one process of the system on a worker's
-// VM. It guards the slots of the local upstreams, announces them to the entries,
-// and runs the orders of the cell's owner on the local worker.
+// Package agent assembles the agent process, the only process of the system on a
+// worker's VM. It enforces the slots of the local upstreams, announces them to the
+// entries, and carries out the orders of the cell's owner on the local worker.
 package agent
 
 import (
@@ -26,10 +26,10 @@
 )
 
 const (
-	headerLimit  = 10 * time.Second
-	firstFetch   = 500 * time.Millisecond // limit of fetching a fleet record
-	longestFetch = 8 * time.Second
-	leaveLimit   = 3 * time.Second
+	headerTimeout   = 10 * time.Second
+	minFetchTimeout = 500 * time.Millisecond // of fetching a fleet record; doubled after a failure
+	maxFetchTimeout = 8 * time.Second
+	leaveTimeout    = 3 * time.Second
 )
 
 // Config holds the settings of an agent.
@@ -38,11 +38,11 @@
 	VM          string
 	Zone        string
 	Rack        string
-	Entries     []string // RPC addresses of some entries; the rest is learned from them
+	Entries     []string // RPC addresses of some entries, which report the others
 	WorkerURL   string
-	ExecutorURL string // empty: tasks of classes run on the worker; else tasks of jobs run on the executor instead
-	Service     string // whose VM this is, for queues that name one
-	LocalListen string // where upstreams on the VM announce themselves
+	ExecutorURL string // empty: tasks of classes run on the worker; else only tasks of jobs run, on the executor
+	Service     string // service that owns this VM, for queues limited to a service
+	LocalListen string // address at which local upstreams announce themselves
 	Listen      string // /metrics, /healthz, /readyz
 	Cell        string
 	StopLimit   time.Duration
@@ -51,21 +51,21 @@
 
 // Agent is one agent.
 type Agent struct {
-	config     Config
-	local      net.Listener
-	admin      net.Listener
-	follower   *follower.Follower
-	gatekeeper *gatekeeper.Gatekeeper
-	announcer  *announcer.Announcer
-	runner     *runner.Runner
-	jobs       *jobs // nil unless an executor is given
-	metrics    *metrics.Set
-	fetchLimit time.Duration // of the next fetch; fetches come one at a time
+	config       Config
+	local        net.Listener
+	admin        net.Listener
+	follower     *follower.Follower
+	gatekeeper   *gatekeeper.Gatekeeper
+	announcer    *announcer.Announcer
+	runner       *runner.Runner
+	jobs         *jobs // nil without an executor
+	metrics      *metrics.Set
+	fetchTimeout time.Duration // of the next fetch; fetches are never concurrent
 }
 
-// New opens the listeners and builds the parts; Run starts them.
+// New opens the listeners and builds the components; Run starts them.
 func New(c Config) (*Agent, error) {
-	a := &Agent{config: c, metrics: metrics.NewSet(), fetchLimit: firstFetch}
+	a := &Agent{config: c, metrics: metrics.NewSet(), fetchTimeout: minFetchTimeout}
 	var err error
 	if a.local, err = net.Listen("tcp", c.LocalListen); err != nil {
 		return nil, fmt.Errorf("listen for upstreams: %w", err)
@@ -78,10 +78,10 @@
 	return a, nil
 }
 
-// LocalAddress returns where upstreams announce themselves.
+// LocalAddress returns the address at which upstreams announce themselves.
 func (a *Agent) LocalAddress() string { return a.local.Addr().String() }
 
-// AdminAddress returns where metrics and health are served.
+// AdminAddress returns the address that serves metrics and health checks.
 func (a *Agent) AdminAddress() string { return a.admin.Addr().String() }
 
 func (a *Agent) build(incarnation int64) {
@@ -91,7 +91,7 @@
 	a.announcer = announcer.New(announcer.Config{
 		AgentID: c.ID, VM: c.VM, Zone: c.Zone, Rack: c.Rack, Incarnation: incarnation,
 		Entries: c.Entries, Gatekeeper: a.gatekeeper, Reporter: c.Reporter,
-		FleetVersion: a.follower.Version, OnFleetVersion: a.takeFleet,
+		FleetVersion: a.follower.Version, OnFleetVersion: a.updateFleet,
 	})
 	if c.ExecutorURL != "" {
 		a.jobs = newJobs(c)
@@ -107,11 +107,12 @@
 	})
 }
 
-// leave tells the cell's owner that no task should start here. Without an owner
-// in reach it gives up soon: the tasks run on under their leases either way, and
-// waiting longer would only hold up the requests in flight of a planned stop.
-func (a *Agent) leave(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, leaveLimit)
+// announceLeave informs the cell's owner that no task should start here. If the owner
+// can't be reached, it gives up after leaveTimeout: the tasks continue under their leases
+// either way, and waiting longer would only delay the requests in flight of a planned
+// stop.
+func (a *Agent) announceLeave(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := a.runner.Drain(ctx); err != nil {
 		a.config.Reporter.Report(reporter.LeaveNotTold, reporter.Fields{"error": err.Error()})
@@ -119,55 +120,55 @@
 	return nil
 }
 
-// serviceNeeds returns what one upstream of a service holds on the VM.
+// serviceNeeds returns the resources that one upstream of a service uses on the VM.
 func (a *Agent) serviceNeeds(service string) (describer.Resources, bool) {
 	s, ok := a.follower.Fleet().Service(service)
 	return s.Needs, ok
 }
 
-// takeFleet fetches a fleet record that an entry has and this agent has not.
-func (a *Agent) takeFleet(version int64, fetch func(context.Context) (messenger.FleetReply, error)) {
+// updateFleet fetches the fleet record if an entry reports a newer version.
+func (a *Agent) updateFleet(version int64, fetch func(context.Context) (messenger.FleetReply, error)) {
 	if version <= a.follower.Version() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.fetchLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), a.fetchTimeout)
 	defer cancel()
 	reply, err := fetch(ctx)
 	if err != nil {
-		// The entry may have been frozen or cut off since it told of the version.
-		// Waiting long for it would keep the change from being in force in time,
-		// while the next heartbeat of another entry tells of it again; so the
-		// first wait is short, and grows for links that really are slow.
-		a.fetchLimit = min(2*a.fetchLimit, longestFetch)
+		// The entry may have been frozen or cut off since it reported the version. A
+		// long wait for it would delay the change too much, while the next heartbeat of
+		// another entry reports the version again. So the first timeout is short, and
+		// it increases for links that are slow.
+		a.fetchTimeout = min(2*a.fetchTimeout, maxFetchTimeout)
 		return
 	}
-	a.fetchLimit = firstFetch
+	a.fetchTimeout = minFetchTimeout
 	if reply.Version > 0 {
-		_ = a.follower.Offer(reply) // an unreadable record is reported by the follower
+		_ = a.follower.Offer(reply) // the follower logs a record that it can't decode
 	}
 }
 
-// Run works until ctx ends, then drains and stops within the stop limit.
+// Run runs the agent until ctx ends, then drains and stops within StopLimit.
 func (a *Agent) Run(ctx context.Context) error {
 	r := registrar.New(registrar.Config{Reporter: a.config.Reporter, StopLimit: a.config.StopLimit})
-	r.Add(part("local-listener", a.local, a.serveLocal, nil))
-	r.Add(part("admin-listener", a.admin, a.serveAdmin, nil))
-	// Drained in reverse: the gate refuses new requests first.
-	work := "runner"
+	r.Add(prebuiltService("local-listener", a.local, a.serveLocal, nil))
+	r.Add(prebuiltService("admin-listener", a.admin, a.serveAdmin, nil))
+	// Services drain in reverse order: the gatekeeper rejects new requests first.
+	workService := "runner"
 	if a.jobs != nil {
-		work = "jobs"
-		r.Add(part(work, a.jobs, a.jobs.run, nil))
+		workService = "jobs"
+		r.Add(prebuiltService(workService, a.jobs, a.jobs.run, nil))
 	} else {
-		r.Add(part(work, a.runner, a.runner.Run, a.leave))
+		r.Add(prebuiltService(workService, a.runner, a.runner.Run, a.announceLeave))
 	}
-	r.Add(part("announcer", a.announcer, a.announcer.Run, a.announcer.Drain, "local-listener", work))
+	r.Add(prebuiltService("announcer", a.announcer, a.announcer.Run, a.announcer.Drain, "local-listener", workService))
 	a.config.Reporter.Report(reporter.Listening, reporter.Fields{
 		"local": a.LocalAddress(), "admin": a.AdminAddress(),
 	})
 	return r.Run(ctx)
 }
 
-func part(name string, value any, run, drain func(context.Context) error, needs ...string) registrar.Service {
+func prebuiltService(name string, value any, run, drain func(context.Context) error, needs ...string) registrar.Service {
 	return registrar.Service{
 		Name: name, Needs: needs, Run: run, Drain: drain,
 		Start: func(context.Context, *registrar.Registrar) (any, error) { return value, nil },
@@ -187,7 +188,7 @@
 }
 
 func (a *Agent) serve(ctx context.Context, l net.Listener, h http.Handler) error {
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	select {
@@ -218,7 +219,7 @@
 
 func (a *Agent) writeReady(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	// A reader that went away needs no answer.
+	// The client may have disconnected, so a write error is ignored.
 	_ = json.NewEncoder(w).Encode(readiness{
 		Ready: true, ID: a.config.ID, VM: a.config.VM,
 		FleetVersion: a.follower.Version(), Upstreams: a.gatekeeper.Upstreams(),
--- a/internal/service/agent/agent_test.go
+++ b/internal/service/agent/agent_test.go
@@ -9,11 +9,11 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// TestFrozenEntryDelaysFleetShortly fetches a fleet record from an entry that
-// froze after it told of the version. Operators expect the change in force within
-// 4 s, and the next heartbeat of another entry comes within one; so the wait must
-// be short at first, and grow for a link on which no fetch ends in time.
-func TestFrozenEntryDelaysFleetShortly(t *testing.T) {
+// TestFrozenEntryDelaysFleetBriefly fetches a fleet record from an entry that froze after
+// it reported the version. Operators expect a change to take effect within 4 s, and the
+// next heartbeat of another entry comes within 1 s. So the timeout must be short at first,
+// and increase for a link on which no fetch ends in time.
+func TestFrozenEntryDelaysFleetBriefly(t *testing.T) {
 	a, err := New(Config{
 		ID: "a", VM: "vm", Zone: "z", Rack: "r", WorkerURL: "http://127.0.0.1:1", Cell: "main",
 		LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Reporter: reporter.Discard(),
@@ -23,23 +23,23 @@
 	}
 	defer a.local.Close()
 	defer a.admin.Close()
-	var limits []time.Duration
+	var timeouts []time.Duration
 	frozen := func(ctx context.Context) (messenger.FleetReply, error) {
 		deadline, _ := ctx.Deadline()
-		limits = append(limits, time.Until(deadline).Round(100*time.Millisecond))
+		timeouts = append(timeouts, time.Until(deadline).Round(100*time.Millisecond))
 		return messenger.FleetReply{}, context.DeadlineExceeded
 	}
 	for range 6 {
-		a.takeFleet(1, frozen)
+		a.updateFleet(1, frozen)
 	}
-	want := []time.Duration{firstFetch, 2 * firstFetch, 4 * firstFetch, 8 * firstFetch, longestFetch, longestFetch}
-	for i, limit := range limits {
-		if limit != want[i] {
-			t.Errorf("fetch %d is given %s, want %s", i, limit, want[i])
+	want := []time.Duration{minFetchTimeout, 2 * minFetchTimeout, 4 * minFetchTimeout, 8 * minFetchTimeout, maxFetchTimeout, maxFetchTimeout}
+	for i, timeout := range timeouts {
+		if timeout != want[i] {
+			t.Errorf("fetch %d has timeout %s, want %s", i, timeout, want[i])
 		}
 	}
-	a.takeFleet(1, func(context.Context) (messenger.FleetReply, error) { return messenger.FleetReply{}, nil })
-	if a.fetchLimit != firstFetch {
-		t.Errorf("after an answer the limit is %s", a.fetchLimit)
+	a.updateFleet(1, func(context.Context) (messenger.FleetReply, error) { return messenger.FleetReply{}, nil })
+	if a.fetchTimeout != minFetchTimeout {
+		t.Errorf("timeout after an answer is %s", a.fetchTimeout)
 	}
 }
--- a/internal/service/agent/jobs.go
+++ b/internal/service/agent/jobs.go
@@ -12,8 +12,8 @@
 	"bamboospread/internal/worker/steerer"
 )
 
-// JobsCell is the cell of jobs; its owner may be another entry than that of the
-// tasks of classes.
+// JobsCell is the name of the cell of jobs. Its owner may be a different entry than the
+// owner of the cell for tasks of classes.
 const JobsCell = "jobs"
 
 // Limits of an executor.
@@ -22,7 +22,7 @@
 	executorStopTime = time.Second
 )
 
-// jobs is the agent's part for jobs.
+// jobs holds the agent's components for jobs.
 type jobs struct {
 	steerer  *steerer.Steerer
 	guardian *guardian.Guardian
@@ -48,18 +48,18 @@
 	return j
 }
 
-// run works until ctx ends. What runs goes on under its leases.
+// run runs the components until ctx ends. Running tasks continue under their leases.
 func (j *jobs) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	parts := []func(context.Context) error{j.steerer.Run, j.guardian.Run, j.attender.Run}
-	ended := make(chan error, len(parts))
-	for _, p := range parts {
-		go func() { ended <- p(ctx) }()
+	components := []func(context.Context) error{j.steerer.Run, j.guardian.Run, j.attender.Run}
+	ended := make(chan error, len(components))
+	for _, run := range components {
+		go func() { ended <- run(ctx) }()
 	}
 	err := <-ended
 	cancel()
-	for range len(parts) - 1 {
+	for range len(components) - 1 {
 		err = errors.Join(err, <-ended)
 	}
 	return err
