--- a/internal/service/hoster/agent.go
+++ b/internal/service/hoster/agent.go
@@ -13,18 +13,18 @@
 	"bamboospread/platform"
 )
 
-// agentStop bounds the end of an agent. What runs on its worker goes on under its
-// lease and is taken over by the next process.
-const agentStop = 500 * time.Millisecond
+// agentStopTimeout limits the stop of an agent. Tasks on its worker continue under their
+// leases, and the next agent process takes them over.
+const agentStopTimeout = 500 * time.Millisecond
 
-// Agent is a process that guards one worker.
+// Agent is a process that manages one worker.
 type Agent struct {
-	config   Config
-	metrics  *metrics.Set
-	store    *platform.Store
-	guardian *guardian.Guardian
-	attender *attender.Attender
-	announce *platform.Announcements
+	config        Config
+	metrics       *metrics.Set
+	store         *platform.Store
+	guardian      *guardian.Guardian
+	attender      *attender.Attender
+	announcements *platform.Announcements
 }
 
 // NewAgent builds an agent.
@@ -40,7 +40,7 @@
 	a.attender = attender.New(attender.Config{
 		Cell: cell, Guardian: a.guardian, GetRecord: a.store.Calls().GetRecord, Now: now, Reporter: c.Reporter,
 	})
-	a.announce = &platform.Announcements{
+	a.announcements = &platform.Announcements{
 		Worker: worker, Announced: a.guardian.Announce,
 		Malformed: func(err error) {
 			c.Reporter.Report(reporter.AnnouncementMalformed, reporter.Fields{"error": err.Error()})
@@ -49,16 +49,16 @@
 	return a
 }
 
-// Run guards the worker until ctx ends.
+// Run manages the worker until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
-	return runParts(ctx, a.config.Reporter, []part{
+	return runComponents(ctx, a.config.Reporter, []component{
 		{"settings", func(ctx context.Context) error {
 			return followSettings(ctx, a.config, func(n *platform.Settings) { a.store.SetAddress(n.StoreAddress) })
 		}},
 		{"guardian", a.guardian.Run},
 		{"attender", a.attender.Run},
 		{"http", func(ctx context.Context) error {
-			return serveSites(ctx, agentStop, site{a.config.Settings.ListenWorker, a.announce.Handler()}, metricsSite(a.config.Settings, a.metrics))
+			return serveEndpoints(ctx, agentStopTimeout, endpoint{a.config.Settings.ListenWorker, a.announcements.Handler()}, metricsEndpoint(a.config.Settings, a.metrics))
 		}},
 	})
 }
--- a/internal/service/hoster/entry.go
+++ b/internal/service/hoster/entry.go
@@ -22,17 +22,17 @@
 	"bamboospread/platform"
 )
 
-// Lengths of an entry's stop.
+// Times of an entry's stop.
 const (
-	// leaveTime is how long requests are still taken after the entry says that it is
-	// not ready, so that the balancer, which asks every second and wants two
-	// misses, sends new callers elsewhere first.
-	leaveTime = 2500 * time.Millisecond
-	stopShare = 3 // the rest of the stop takes a third of the grace at most
+	// drainDelay is how long the entry accepts requests after it reports not ready. The
+	// balancer polls every second and needs two failures before it sends new callers
+	// elsewhere.
+	drainDelay       = 2500 * time.Millisecond
+	stopGraceDivisor = 3 // the HTTP shutdown takes at most a third of the stop grace
 )
 
-// readyAge is how old the policy may be while an entry calls itself ready.
-const readyAge = 5 * time.Second
+// maxReadyPolicyAge is the maximum age of the policy for a ready entry.
+const maxReadyPolicyAge = 5 * time.Second
 
 // Entry is a process that serves callers.
 type Entry struct {
@@ -69,7 +69,7 @@
 			return e.receiver.StoreFor(ctx, q)
 		},
 		Grant: min(scheduler.DefaultGrant, c.Settings.LeaseMax), Lease: max(scheduler.DefaultLease, c.Settings.StoreLeaseMin),
-		Patience: patienceOf(c.Settings),
+		Patience: claimDelay(c.Settings),
 		Now:      now, Reporter: c.Reporter, Meters: scheduler.NewMeters(e.metrics),
 	})
 	e.forwarder = forwarder.New(forwarder.Config{Self: self, Owner: e.scheduler.Owner, Handle: e.scheduler.Handle, Reporter: c.Reporter})
@@ -79,61 +79,61 @@
 	return e
 }
 
-// What an owner needs to itself. The owner of 70 VMs reads reports of some 300 KB a
-// second and uses up to a tenth of a core; on the smallest VMs of the users (0.192 of a
-// core, 10 Mbit/s) both would be held up behind callers.
+// Minimum VM size for an entry that claims a vacant cell without delay. The owner of 70
+// VMs reads reports of about 300 KB a second and uses up to a tenth of a core; on the
+// smallest VMs of the users (0.192 of a core, 10 Mbit/s) callers would delay both.
 const (
-	ownerCores    = 0.4
-	ownerLinkMbps = 100
-	// ownerPatience is how long an entry on a smaller VM leaves a vacant cell to others:
-	// they see it within some milliseconds and take it with three calls.
-	ownerPatience = 400 * time.Millisecond
+	minOwnerCores    = 0.4
+	minOwnerLinkMbps = 100
+	// ownerClaimDelay is how long an entry on a smaller VM leaves a vacant cell to other
+	// entries, which notice it within some milliseconds and claim it with three calls.
+	ownerClaimDelay = 400 * time.Millisecond
 )
 
-func patienceOf(s *platform.Settings) time.Duration {
-	small := s.Cores > 0 && s.Cores < ownerCores || s.LinkMbps > 0 && s.LinkMbps < ownerLinkMbps
+func claimDelay(s *platform.Settings) time.Duration {
+	small := s.Cores > 0 && s.Cores < minOwnerCores || s.LinkMbps > 0 && s.LinkMbps < minOwnerLinkMbps
 	if small {
-		return ownerPatience
+		return ownerClaimDelay
 	}
 	return 0
 }
 
-// Run serves until ctx ends, then leaves in order: no new callers, the ownership
-// given up, requests in flight answered.
+// Run serves until ctx ends. It then stops accepting new callers, releases the ownership
+// and completes the requests in flight.
 func (e *Entry) Run(ctx context.Context) error {
 	s := e.config.Settings
-	tuneCollector(s.MemoryMB)
+	tuneGarbageCollector(s.MemoryMB)
 	l, err := net.Listen("tcp", rpcAddress(s))
 	if err != nil {
-		return fmt.Errorf("listen for own processes: %w", err)
+		return fmt.Errorf("listen for RPC: %w", err)
 	}
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
 	context.AfterFunc(ctx, func() {
 		e.draining.Store(true)
-		time.AfterFunc(leaveTime, stopServing)
+		time.AfterFunc(drainDelay, stopServing)
 	})
-	deciding := func(run func(context.Context) error) func(context.Context) error {
-		return func(whole context.Context) error { // ends with the signal, not with the last request
-			own, cancel := context.WithCancel(whole)
+	untilSignal := func(run func(context.Context) error) func(context.Context) error {
+		return func(processCtx context.Context) error { // ends run when ctx ends, not after the last request
+			runCtx, cancel := context.WithCancel(processCtx)
 			defer cancel()
 			defer context.AfterFunc(ctx, cancel)()
-			err := run(own)
-			<-whole.Done()
+			err := run(runCtx)
+			<-processCtx.Done()
 			return err
 		}
 	}
-	return runParts(serving, e.config.Reporter, []part{
+	return runComponents(serving, e.config.Reporter, []component{
 		{"rpc", func(ctx context.Context) error { return connector.Serve(ctx, l, e.handle, nil) }},
 		{"settings", func(ctx context.Context) error {
 			return followSettings(ctx, e.config, func(n *platform.Settings) { e.store.SetAddress(n.StoreAddress) })
 		}},
 		{"policy", e.follower.Run},
-		{"scheduler", deciding(e.scheduler.Run)},
+		{"scheduler", untilSignal(e.scheduler.Run)},
 		{"forwarder", e.forwarder.Run},
 		{"http", func(ctx context.Context) error {
-			return serveSites(ctx, s.StopGrace/stopShare,
-				site{s.ListenCallers, e.callers()}, site{s.ListenReadiness, http.HandlerFunc(e.ready)}, metricsSite(s, e.metrics))
+			return serveEndpoints(ctx, s.StopGrace/stopGraceDivisor,
+				endpoint{s.ListenCallers, e.callerHandler()}, endpoint{s.ListenReadiness, http.HandlerFunc(e.serveReadiness)}, metricsEndpoint(s, e.metrics))
 		}},
 	})
 }
@@ -142,7 +142,7 @@
 	return e.scheduler.Handle(ctx, c, method, params)
 }
 
-func (e *Entry) callers() http.Handler {
+func (e *Entry) callerHandler() http.Handler {
 	return &platform.Callers{
 		Receiver: e.receiver, Policy: e.follower.Policy, PolicyAge: e.follower.Age,
 		Refused: func(reason, host, path string) {
@@ -155,14 +155,14 @@
 	}
 }
 
-// ready answers the platform's balancer.
-func (e *Entry) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers the platform's balancer.
+func (e *Entry) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.draining.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case e.follower.Policy().Version == 0:
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
-	case e.follower.Age() > readyAge:
+	case e.follower.Age() > maxReadyPolicyAge:
 		http.Error(w, "store not reached", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
--- a/internal/service/hoster/hoster.go
+++ b/internal/service/hoster/hoster.go
@@ -1,6 +1,6 @@
-// Package hoster assembles the processes that run on the users' platform: the
-// entry, which serves callers and competes for the ownership of jobs, and the
-// agent, which guards one worker.
+// Package hoster assembles the processes that run on the users' platform: the entry,
+// which serves callers and may own the cell of jobs, and the agent, which manages one
+// worker.
 package hoster
 
 import (
@@ -20,35 +20,35 @@
 	"bamboospread/platform"
 )
 
-// tuneCollector lets garbage grow to several times what is in use before it is collected,
-// within the memory of the process. A busy owner has little in use and makes ten times as
-// much garbage a second: collected whenever it has doubled, that takes a good part of the
-// processor of a small entry VM.
-func tuneCollector(memoryMB float64) {
-	debug.SetGCPercent(collectAt)
+// tuneGarbageCollector lets the heap grow to several times the live memory before a
+// collection, within the memory of the process. A busy owner has little live memory and
+// allocates ten times as much per second: with a collection at each doubling of the heap,
+// that uses a large part of the processor of a small entry VM.
+func tuneGarbageCollector(memoryMB float64) {
+	debug.SetGCPercent(gcPercent)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB * (1 << 20) * collectShare / 100))
+		debug.SetMemoryLimit(int64(memoryMB * (1 << 20) * memoryLimitPercent / 100))
 	}
 }
 
 const (
-	collectAt    = 400 // percent of what is in use, as garbage
-	collectShare = 60  // percent of the process's memory above which it is collected in any case
+	gcPercent          = 400 // garbage in percent of the live memory
+	memoryLimitPercent = 60  // percent of the process's memory above which garbage is collected in any case
 )
 
 // cell is the name of the one cell of a deployment.
 const cell = "main"
 
-// Ports of a process. The roles never share a VM, so they may share ports.
+// Ports of a process. Entries and agents never share a VM, so they may use the same ports.
 const (
-	rpcOffset   = 0    // from the first port that is free for our own processes
+	rpcOffset   = 0    // from InternalPort, the first port that is free for our own processes
 	metricsPort = 9464 // as deploy/system.toml says
 )
 
-// Limits of HTTP.
+// Timeouts of the HTTP servers.
 const (
-	headerLimit = 3 * time.Second
-	idleLimit   = 60 * time.Second
+	headerTimeout = 3 * time.Second
+	idleTimeout   = 60 * time.Second
 )
 
 // Config holds the settings of a process.
@@ -62,20 +62,20 @@
 	return net.JoinHostPort(s.Address, strconv.Itoa(s.InternalPort+rpcOffset))
 }
 
-// site is one HTTP listener with what it serves.
-type site struct {
+// endpoint is the address and handler of an HTTP server.
+type endpoint struct {
 	address string
 	handler http.Handler
 }
 
-// serveSites serves all sites until ctx ends, then lets requests in flight finish.
-func serveSites(ctx context.Context, stopLimit time.Duration, sites ...site) error {
-	ended := make(chan error, len(sites))
+// serveEndpoints serves all endpoints until ctx ends, then waits for requests in flight.
+func serveEndpoints(ctx context.Context, stopTimeout time.Duration, endpoints ...endpoint) error {
+	ended := make(chan error, len(endpoints))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	started := 0
 	var errs []error
-	for _, s := range sites {
+	for _, s := range endpoints {
 		l, err := net.Listen("tcp", s.address)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("listen on %s: %w", s.address, err))
@@ -83,7 +83,7 @@
 			break
 		}
 		started++
-		go func() { ended <- serveSite(ctx, stopLimit, l, s.handler) }()
+		go func() { ended <- serveEndpoint(ctx, stopTimeout, l, s.handler) }()
 	}
 	for range started {
 		errs = append(errs, <-ended)
@@ -92,8 +92,8 @@
 	return errors.Join(errs...)
 }
 
-func serveSite(ctx context.Context, stopLimit time.Duration, l net.Listener, h http.Handler) error {
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit}
+func serveEndpoint(ctx context.Context, stopTimeout time.Duration, l net.Listener, h http.Handler) error {
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	select {
@@ -101,35 +101,35 @@
 		return fmt.Errorf("serve %s: %w", l.Addr(), err)
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	err := server.Shutdown(stop)
 	<-served
 	return err
 }
 
-// metricsSite serves the meters of a process.
-func metricsSite(s *platform.Settings, set *metrics.Set) site {
+// metricsEndpoint serves the metrics of a process.
+func metricsEndpoint(s *platform.Settings, set *metrics.Set) endpoint {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		set.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	return site{net.JoinHostPort(s.Address, strconv.Itoa(metricsPort)), mux}
+	return endpoint{net.JoinHostPort(s.Address, strconv.Itoa(metricsPort)), mux}
 }
 
-// part is a goroutine of a process.
-type part struct {
+// component is a part of a process that runs in its own goroutine.
+type component struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-// runParts runs all parts until ctx ends or one of them fails; then all stop.
-func runParts(ctx context.Context, r *reporter.Reporter, parts []part) error {
+// runComponents runs all components until ctx ends or one of them ends, then stops all.
+func runComponents(ctx context.Context, r *reporter.Reporter, components []component) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan error, len(parts))
-	for _, p := range parts {
+	ended := make(chan error, len(components))
+	for _, p := range components {
 		go func() {
 			err := p.run(ctx)
 			if ctx.Err() == nil {
@@ -142,7 +142,7 @@
 	}
 	err := <-ended
 	cancel()
-	for range len(parts) - 1 {
+	for range len(components) - 1 {
 		err = errors.Join(err, <-ended)
 	}
 	return err
--- a/internal/service/hoster/settings.go
+++ b/internal/service/hoster/settings.go
@@ -12,40 +12,40 @@
 	"bamboospread/platform"
 )
 
-// settingsEvery is how often the settings file is read: the platform may change it
-// without a signal.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is read. The platform
+// may change the file without sending a signal.
+const settingsPollInterval = 2 * time.Second
 
-// followSettings puts a changed settings file in force, on SIGHUP and by itself.
+// followSettings applies a changed settings file, on SIGHUP or at the next poll.
 func followSettings(ctx context.Context, c Config, apply func(*platform.Settings)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	current, refused := c.Settings, ""
+	current, lastError := c.Settings, ""
 	for {
 		cause := "file"
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hangups:
-			cause, refused = "signal", ""
+			cause, lastError = "signal", ""
 		case <-ticker.C:
 		}
 		next, err := platform.ReadSettings(c.SettingsPath)
 		if err != nil {
-			if err.Error() != refused { // once, not at each reading
-				refused = err.Error()
-				c.Reporter.Report(reporter.SettingsRefused, reporter.Fields{"cause": cause, "error": refused})
+			if err.Error() != lastError { // log each error once, not at every poll
+				lastError = err.Error()
+				c.Reporter.Report(reporter.SettingsRefused, reporter.Fields{"cause": cause, "error": lastError})
 			}
 			continue
 		}
-		names, live := current.Changes(next)
+		names, inForce := current.Changes(next)
 		if len(names) == 0 && cause != "signal" {
 			continue
 		}
-		c.Reporter.Report(reporter.SettingsReloaded, reporter.Fields{"cause": cause, "changed": strings.Join(names, ","), "in-force": live})
+		c.Reporter.Report(reporter.SettingsReloaded, reporter.Fields{"cause": cause, "changed": strings.Join(names, ","), "in-force": inForce})
 		apply(next)
 		current = next
 	}
--- a/internal/service/hoster/settings_test.go
+++ b/internal/service/hoster/settings_test.go
@@ -25,9 +25,10 @@
 platform.address=10.200.1.7:8169
 `
 
-// The file is read while it is being written, cut short within the store's address or
-// before it: the next reading puts the whole one in force, without a signal.
-func TestSettingsReadWhileTheyAreWritten(t *testing.T) {
+// TestSettingsFileIsReadWhileItIsWritten reads a file that is truncated before or within the
+// address of the store because it is still being written. The next poll must apply the
+// complete file without a signal.
+func TestSettingsFileIsReadWhileItIsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write := func(text string) {
 		t.Helper()
@@ -48,23 +49,23 @@
 		ended <- followSettings(ctx, c, func(s *platform.Settings) { applied <- s.StoreAddress })
 	}()
 	defer func() { cancel(); <-ended }()
-	moved := strings.Replace(settingsText, "10.200.1.7:8169", "10.200.1.8:8169", 1)
+	newText := strings.Replace(settingsText, "10.200.1.7:8169", "10.200.1.8:8169", 1)
 	steps := []struct {
-		text, want string // empty: nothing is put in force
+		text, want string // empty: nothing is applied
 	}{
-		{moved[:strings.Index(moved, "platform.address")], ""},
-		{moved[:len(moved)-3], "10.200.1.8:81"},
-		{moved, "10.200.1.8:8169"},
+		{newText[:strings.Index(newText, "platform.address")], ""},
+		{newText[:len(newText)-3], "10.200.1.8:81"},
+		{newText, "10.200.1.8:8169"},
 	}
 	for _, step := range steps {
 		write(step.text)
 		got := ""
 		select {
 		case got = <-applied:
-		case <-time.After(settingsEvery + time.Second):
+		case <-time.After(settingsPollInterval + time.Second):
 		}
 		if got != step.want {
-			t.Errorf("address %q is put in force, want %q", got, step.want)
+			t.Errorf("applied address %q, want %q", got, step.want)
 		}
 	}
 }
