--- a/internal/operator/tallier/report.go
+++ b/internal/operator/tallier/report.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-// Row is what became of the jobs of a queue.
+// Row summarizes the jobs of a queue.
 type Row struct {
-	Queue      string        `json:"queue"`
-	Accepted   int           `json:"accepted"`
-	Done       int           `json:"done"`
-	Failed     int           `json:"failed"`
-	Cancelled  int           `json:"cancelled"`
-	Open       int           `json:"open"` // at the end of the log
-	NotStarted int           `json:"not-started"`
-	First      Spread        `json:"first-start"` // from acceptance
-	Whole      Spread        `json:"turnaround"`  // of those that are done
-	Waiting    time.Duration `json:"waiting-ns"`  // of all tasks, until their starts
-	Working    time.Duration `json:"working-ns"`  // of all runs that ended
-	Redone     int           `json:"redone"`      // runs that did not end done
+	Queue            string        `json:"queue"`
+	Accepted         int           `json:"accepted"`
+	Done             int           `json:"done"`
+	Failed           int           `json:"failed"`
+	Cancelled        int           `json:"cancelled"`
+	Open             int           `json:"open"` // not ended at the end of the log
+	NotStarted       int           `json:"not-started"`
+	FirstStart       Distribution  `json:"first-start"` // measured from acceptance
+	Turnaround       Distribution  `json:"turnaround"`  // of jobs that are done
+	WaitTime         time.Duration `json:"waiting-ns"`  // of all tasks, until they start
+	RunTime          time.Duration `json:"working-ns"`  // of all runs that ended
+	UnsuccessfulRuns int           `json:"redone"`      // runs that ended other than done
 }
 
-// Spread is a distribution of durations.
-type Spread struct {
+// Distribution summarizes a set of durations.
+type Distribution struct {
 	Median time.Duration `json:"median-ns"`
-	High   time.Duration `json:"p95-ns"`
-	Most   time.Duration `json:"most-ns"`
+	P95    time.Duration `json:"p95-ns"`
+	Max    time.Duration `json:"most-ns"`
 }
 
-// Count is how often something was told.
+// Count is how often a value was logged.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// Tally is the sum of a log.
+// Tally summarizes a log.
 type Tally struct {
-	Queues     []Row         `json:"queues"`
-	Ends       []Count       `json:"ends"`     // of runs
-	Stops      []Count       `json:"stops"`    // by cause
-	Waits      []Count       `json:"waits"`    // of steps, by the cause told
-	Refusals   []Count       `json:"refusals"` // by reason
-	Ownerless  time.Duration `json:"ownerless-ns"`
-	Unreadable int           `json:"unreadable-lines"`
+	Queues          []Row         `json:"queues"`
+	RunEnds         []Count       `json:"ends"`     // of runs, by how they ended
+	StopCauses      []Count       `json:"stops"`    // of runs, by cause
+	WaitCauses      []Count       `json:"waits"`    // of steps, by logged cause
+	RefusalReasons  []Count       `json:"refusals"` // of jobs, by reason
+	Ownerless       time.Duration `json:"ownerless-ns"`
+	UnreadableLines int           `json:"unreadable-lines"`
 }
 
-// Tally returns the sum of what was read.
+// Tally returns the summary of all lines read so far.
 func (t *Tallier) Tally() Tally {
 	rows := make(map[string]*Row)
-	first, whole := make(map[string][]time.Duration), make(map[string][]time.Duration)
+	firstStart, turnaround := make(map[string][]time.Duration), make(map[string][]time.Duration)
 	for _, j := range t.jobs {
 		if j.queue == "" {
 			continue // accepted before the log begins
@@ -65,22 +65,22 @@
 		}
 		r.add(j)
 		if !j.accepted.IsZero() && !j.started.IsZero() {
-			first[j.queue] = append(first[j.queue], j.started.Sub(j.accepted))
+			firstStart[j.queue] = append(firstStart[j.queue], j.started.Sub(j.accepted))
 		}
 		if !j.accepted.IsZero() && j.state == "done" {
-			whole[j.queue] = append(whole[j.queue], j.ended.Sub(j.accepted))
+			turnaround[j.queue] = append(turnaround[j.queue], j.ended.Sub(j.accepted))
 		}
 	}
-	sum := Tally{
-		Ends: counts(t.ends), Stops: counts(t.causes), Waits: counts(t.waits), Refusals: counts(t.refusals),
-		Ownerless: t.ownerless, Unreadable: t.unreadable,
+	tally := Tally{
+		RunEnds: sortCounts(t.runEnds), StopCauses: sortCounts(t.stopCauses), WaitCauses: sortCounts(t.waitCauses), RefusalReasons: sortCounts(t.refusalReasons),
+		Ownerless: t.ownerless, UnreadableLines: t.unreadableLines,
 	}
 	for _, queue := range slices.Sorted(maps.Keys(rows)) {
 		r := rows[queue]
-		r.First, r.Whole = spreadOf(first[queue]), spreadOf(whole[queue])
-		sum.Queues = append(sum.Queues, *r)
+		r.FirstStart, r.Turnaround = distributionOf(firstStart[queue]), distributionOf(turnaround[queue])
+		tally.Queues = append(tally.Queues, *r)
 	}
-	return sum
+	return tally
 }
 
 func (r *Row) add(j *job) {
@@ -98,20 +98,20 @@
 			r.NotStarted++
 		}
 	}
-	r.Waiting += j.waited
-	r.Working += j.working
-	r.Redone += j.redone
+	r.WaitTime += j.waitTime
+	r.RunTime += j.runTime
+	r.UnsuccessfulRuns += j.unsuccessfulRuns
 }
 
-func spreadOf(all []time.Duration) Spread {
+func distributionOf(all []time.Duration) Distribution {
 	if len(all) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	slices.Sort(all)
-	return Spread{Median: all[len(all)/2], High: all[len(all)*95/100], Most: all[len(all)-1]}
+	return Distribution{Median: all[len(all)/2], P95: all[len(all)*95/100], Max: all[len(all)-1]}
 }
 
-func counts(m map[string]int) []Count {
+func sortCounts(m map[string]int) []Count {
 	var all []Count
 	for name, n := range m {
 		all = append(all, Count{name, n})
@@ -122,25 +122,25 @@
 	return all
 }
 
-// Write prints the sum as tables.
+// Write prints the summary as tables.
 func (t Tally) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "queue\taccepted\tdone\tfailed\tcancelled\topen\tnot started\tfirst start p50\tp95\tmost\tturnaround p50\tp95\tmost\ttasks waited\tworked\tredone")
+	fmt.Fprintln(w, "queue\taccepted\tdone\tfailed\tcancelled\topen\tnot started\tfirst start p50\tp95\tmax\tturnaround p50\tp95\tmax\ttask wait\trun time\truns not done")
 	for _, r := range t.Queues {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", r.Queue, r.Accepted, r.Done, r.Failed, r.Cancelled, r.Open, r.NotStarted,
-			short(r.First.Median), short(r.First.High), short(r.First.Most), short(r.Whole.Median), short(r.Whole.High), short(r.Whole.Most), short(r.Waiting), short(r.Working), r.Redone)
+			formatDuration(r.FirstStart.Median), formatDuration(r.FirstStart.P95), formatDuration(r.FirstStart.Max), formatDuration(r.Turnaround.Median), formatDuration(r.Turnaround.P95), formatDuration(r.Turnaround.Max), formatDuration(r.WaitTime), formatDuration(r.RunTime), r.UnsuccessfulRuns)
 	}
 	for _, part := range []struct {
 		title string
 		rows  []Count
-	}{{"runs ended", t.Ends}, {"stops decided", t.Stops}, {"steps that waited (told at a bounded rate)", t.Waits}, {"refused", t.Refusals}} {
+	}{{"runs ended", t.RunEnds}, {"stops decided", t.StopCauses}, {"steps that waited (logged at a limited rate)", t.WaitCauses}, {"refused", t.RefusalReasons}} {
 		fmt.Fprintf(w, "\n%s\n", part.title)
 		for _, c := range part.rows {
 			fmt.Fprintf(w, "%d\t%s\n", c.Count, c.Name)
 		}
 	}
-	fmt.Fprintf(w, "\nwithout an owner\t%s\nlines that are no events\t%d\n", short(t.Ownerless), t.Unreadable)
+	fmt.Fprintf(w, "\nwithout an owner\t%s\nlines without an event\t%d\n", formatDuration(t.Ownerless), t.UnreadableLines)
 	return w.Flush()
 }
 
-func short(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/internal/operator/tallier/tallier.go
+++ b/internal/operator/tallier/tallier.go
@@ -1,5 +1,6 @@
-// Package tallier tells from the logs of entries and agents where the time of jobs went:
-// waiting for their first start, for room, for earlier steps, running, or run again.
+// Package tallier summarizes from the logs of entries and agents how jobs spent their time:
+// waiting for their first start, for free capacity or for earlier steps, running, or
+// running again.
 package tallier
 
 import (
@@ -16,43 +17,43 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// maxLineBytes bounds a line of a log; longer ones are counted as unreadable.
+// maxLineBytes limits a line of a log; Read fails on a longer one.
 const maxLineBytes = 64 << 10
 
-// Tallier adds lines up. It is not safe for concurrent use.
+// Tallier aggregates log lines. It is not safe for concurrent use.
 type Tallier struct {
-	jobs       map[string]*job
-	causes     map[string]int // of stops
-	waits      map[string]int // told causes of steps that wait
-	refusals   map[string]int
-	ends       map[string]int // of runs, by how they ended
-	ownerless  time.Duration
-	lostAt     time.Time // since when no entry owns the cell; zero: one does
-	events     int
-	unreadable int
+	jobs            map[string]*job
+	stopCauses      map[string]int // count of stops by cause
+	waitCauses      map[string]int // count of waiting steps by logged cause
+	refusalReasons  map[string]int
+	runEnds         map[string]int // count of runs by how they ended
+	ownerless       time.Duration
+	ownerlessSince  time.Time // time since which no entry owns the cell; zero: an entry owns it
+	events          int
+	unreadableLines int
 }
 
-// job is what the log tells of a job.
+// job holds the logged data of a job.
 type job struct {
-	queue    string
-	accepted time.Time
-	started  time.Time
-	ended    time.Time
-	state    string
-	waited   time.Duration // of its tasks, all together
-	starts   int
-	runs     map[string]time.Time // by task and run: when the start was decided
-	working  time.Duration        // of its runs, all together
-	redone   int                  // runs that did not end done
+	queue            string
+	accepted         time.Time
+	started          time.Time
+	ended            time.Time
+	state            string
+	waitTime         time.Duration // sum over its tasks
+	starts           int
+	runs             map[string]time.Time // time of the start decision, by task and run
+	runTime          time.Duration        // sum over its runs
+	unsuccessfulRuns int                  // runs that ended other than done
 }
 
 // New returns an empty Tallier.
 func New() *Tallier {
-	return &Tallier{jobs: make(map[string]*job), causes: make(map[string]int), waits: make(map[string]int), refusals: make(map[string]int), ends: make(map[string]int)}
+	return &Tallier{jobs: make(map[string]*job), stopCauses: make(map[string]int), waitCauses: make(map[string]int), refusalReasons: make(map[string]int), runEnds: make(map[string]int)}
 }
 
-// Read adds the lines of a log in logfmt. What stands before the first field of a line,
-// such as the name of a process, is passed over. Lines that are no events are counted.
+// Read adds the lines of a log in logfmt. Text before the first field of a line, such as
+// the name of a process, is skipped. Lines without an event are counted.
 func (t *Tallier) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
@@ -60,11 +61,11 @@
 		line := lines.Text()
 		i := strings.Index(line, "timestamp=")
 		if i < 0 {
-			t.unreadable++
+			t.unreadableLines++
 			continue
 		}
 		if !t.add(line[i:]) {
-			t.unreadable++
+			t.unreadableLines++
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -114,7 +115,7 @@
 		j := t.job(f["job"])
 		j.queue, j.accepted = f["queue"], at
 	case reporter.JobRefused:
-		t.refusals[f["reason"]]++
+		t.refusalReasons[f["reason"]]++
 	case reporter.JobStartDecided:
 		t.start(at, f)
 	case reporter.JobRunEnded:
@@ -122,18 +123,18 @@
 	case reporter.JobRunLost:
 		t.end(at, f, "lost")
 	case reporter.JobStopDecided:
-		t.causes[f["cause"]]++
+		t.stopCauses[f["cause"]]++
 	case reporter.JobStepWaits:
-		t.waits[f["cause"]]++
+		t.waitCauses[f["cause"]]++
 	case reporter.JobEnded:
 		j := t.job(f["job"])
 		j.ended, j.state, j.queue = at, f["state"], f["queue"]
 	case reporter.CellLost:
-		t.lostAt = at
+		t.ownerlessSince = at
 	case reporter.CellTaken:
-		if !t.lostAt.IsZero() {
-			t.ownerless += at.Sub(t.lostAt)
-			t.lostAt = time.Time{}
+		if !t.ownerlessSince.IsZero() {
+			t.ownerless += at.Sub(t.ownerlessSince)
+			t.ownerlessSince = time.Time{}
 		}
 	}
 }
@@ -153,23 +154,23 @@
 	if j.started.IsZero() {
 		j.started = at
 	}
-	if waited, err := time.ParseDuration(f["waited"]); err == nil {
-		j.waited += waited
+	if waitTime, err := time.ParseDuration(f["waited"]); err == nil {
+		j.waitTime += waitTime
 	}
 	j.starts++
 	j.runs[f["task"]+" "+f["run"]] = at
 }
 
 func (t *Tallier) end(at time.Time, f fields, how string) {
-	t.ends[how]++
+	t.runEnds[how]++
 	id, _, _ := strings.Cut(f["task"], ".")
 	j := t.job(id)
 	run := f["task"] + " " + f["run"]
 	if from, ok := j.runs[run]; ok {
-		j.working += at.Sub(from)
+		j.runTime += at.Sub(from)
 		delete(j.runs, run)
 	}
 	if how != "done" {
-		j.redone++
+		j.unsuccessfulRuns++
 	}
 }
--- a/internal/operator/tallier/tallier_test.go
+++ b/internal/operator/tallier/tallier_test.go
@@ -31,16 +31,16 @@
 	want := Tally{
 		Queues: []Row{{
 			Queue: "q", Accepted: 2, Done: 1, Open: 1, NotStarted: 1,
-			First:   Spread{time.Second, time.Second, time.Second},
-			Whole:   Spread{7 * time.Second, 7 * time.Second, 7 * time.Second},
-			Waiting: 4 * time.Second, Working: 3 * time.Second, Redone: 1,
+			FirstStart: Distribution{time.Second, time.Second, time.Second},
+			Turnaround: Distribution{7 * time.Second, 7 * time.Second, 7 * time.Second},
+			WaitTime:   4 * time.Second, RunTime: 3 * time.Second, UnsuccessfulRuns: 1,
 		}},
-		Ends:       []Count{{"done", 1}, {"stopped", 1}},
-		Stops:      []Count{{"can go on elsewhere", 1}},
-		Waits:      []Count{{"2 VMs without room", 1}},
-		Refusals:   []Count{{"store not reached", 1}},
-		Ownerless:  2 * time.Second,
-		Unreadable: 2,
+		RunEnds:         []Count{{"done", 1}, {"stopped", 1}},
+		StopCauses:      []Count{{"can go on elsewhere", 1}},
+		WaitCauses:      []Count{{"2 VMs without room", 1}},
+		RefusalReasons:  []Count{{"store not reached", 1}},
+		Ownerless:       2 * time.Second,
+		UnreadableLines: 2,
 	}
 	if diff := cmp.Diff(want, tallier.Tally()); diff != "" {
 		t.Error(diff)
@@ -51,10 +51,10 @@
 	}
 }
 
-func TestALogWithoutEventsIsRefused(t *testing.T) {
+func TestLogWithoutEventsIsRejected(t *testing.T) {
 	for _, text := range []string{"", "hello\n", `{"json": "lines"}`} {
 		if err := New().Read(strings.NewReader(text)); err == nil {
-			t.Errorf("%q was taken for a log", text)
+			t.Errorf("%q was accepted as a log", text)
 		}
 	}
 }
