--- a/internal/operator/handler/answer.go
+++ b/internal/operator/handler/answer.go
@@ -14,7 +14,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// retryAfterSeconds is told with every answer that asks to come back.
+// retryAfterSeconds is the Retry-After value of every answer that asks for a retry.
 const retryAfterSeconds = 1
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -26,7 +26,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)+1))
 	w.WriteHeader(status)
-	// A caller that has gone can't be told.
+	// The client may have disconnected, so a write error is ignored.
 	_, _ = w.Write(append(data, '\n'))
 }
 
@@ -37,7 +37,8 @@
 	writeJSON(w, status, a)
 }
 
-// readBody reads a body of at most limit bytes; on failure it has answered.
+// readBody reads a body of at most limit bytes. On failure it writes the answer and
+// returns false.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -52,7 +53,7 @@
 	return nil, false
 }
 
-// readJSON reads a body into v; on failure it has answered.
+// readJSON decodes a body into v. On failure it writes the answer and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, ok := readBody(w, r, maxJSONBody)
 	if !ok {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// writeChangeError answers a change that was not accepted, or not surely.
+// writeChangeError answers a change that was rejected or whose outcome is unknown.
 func (h *Handler) writeChangeError(w http.ResponseWriter, changeID string, err error) {
 	a := ErrorAnswer{Error: err.Error(), ChangeID: changeID, Outcome: OutcomeRefused}
 	status := http.StatusBadRequest
@@ -94,8 +95,8 @@
 	writeError(w, status, a)
 }
 
-// writeCellError answers a call of the cell's owner that failed. Read-only
-// calls have no effect that could be unknown.
+// writeCellError answers a failed call to the cell's owner. A read-only call has no
+// effect, so its outcome is never unknown.
 func writeCellError(w http.ResponseWriter, err error, readOnly bool) {
 	a := ErrorAnswer{Error: err.Error(), Outcome: OutcomeUnknown}
 	status := http.StatusGatewayTimeout
--- a/internal/operator/handler/fleet.go
+++ b/internal/operator/handler/fleet.go
@@ -12,17 +12,17 @@
 	"bamboospread/internal/fleet/validator"
 )
 
-// refreshLimit bounds the store call that makes an answer current.
-const refreshLimit = time.Second
+// refreshTimeout limits the store call that refreshes the fleet for an answer.
+const refreshTimeout = time.Second
 
 func (h *Handler) getFleet(w http.ResponseWriter, r *http.Request) {
-	if wanted := r.URL.Query().Get("version"); wanted != "" {
-		h.getFleetVersion(w, wanted)
+	if requested := r.URL.Query().Get("version"); requested != "" {
+		h.getFleetVersion(w, requested)
 		return
 	}
-	// An operator bases the next change on this answer; an old one would only
-	// end in a conflict.
-	ctx, cancel := context.WithTimeout(r.Context(), refreshLimit)
+	// Operators base their next change on this answer; a change based on an outdated
+	// version would only result in a conflict.
+	ctx, cancel := context.WithTimeout(r.Context(), refreshTimeout)
 	defer cancel()
 	_, err := h.config.Follower.Refresh(ctx)
 	stored := h.config.Follower.CurrentRecord()
@@ -32,15 +32,15 @@
 	})
 }
 
-func (h *Handler) getFleetVersion(w http.ResponseWriter, wanted string) {
-	version, err := strconv.ParseInt(wanted, 10, 64)
+func (h *Handler) getFleetVersion(w http.ResponseWriter, requested string) {
+	version, err := strconv.ParseInt(requested, 10, 64)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "version " + strconv.Quote(wanted) + ": want a whole number"})
+		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "version " + strconv.Quote(requested) + ": want a whole number"})
 		return
 	}
 	text, ok := h.config.Follower.FindText(version)
 	if !ok {
-		writeError(w, http.StatusNotFound, ErrorAnswer{Error: "version " + wanted + " is not known to this entry; only recent ones are kept"})
+		writeError(w, http.StatusNotFound, ErrorAnswer{Error: "version " + requested + " is not known to this entry; only recent ones are kept"})
 		return
 	}
 	writeJSON(w, http.StatusOK, FleetAnswer{Version: version, Text: text, ZonesOut: []string{}, Stale: version < h.config.Follower.Version()})
@@ -69,11 +69,11 @@
 	if !ok {
 		return
 	}
-	var wanted ZoneRequest
-	if !readJSON(w, r, &wanted) {
+	var requested ZoneRequest
+	if !readJSON(w, r, &requested) {
 		return
 	}
-	version, err := h.config.Changer.SetZone(r.Context(), r.PathValue("zone"), describer.ZoneState(wanted.State), changeID)
+	version, err := h.config.Changer.SetZone(r.Context(), r.PathValue("zone"), describer.ZoneState(requested.State), changeID)
 	h.writeChange(w, changeID, version, err)
 }
 
@@ -85,13 +85,13 @@
 	writeJSON(w, http.StatusOK, ChangeAnswer{Outcome: OutcomeDone, Version: version, ChangeID: changeID})
 }
 
-// maxChangeIDBytes bounds what is kept in the record's list of changes.
+// maxChangeIDBytes limits the ids in the record's list of changes.
 const maxChangeIDBytes = 128
 
 func readChangeID(w http.ResponseWriter, r *http.Request) (string, bool) {
 	id := r.Header.Get(HeaderChangeID)
 	if id == "" || len(id) > maxChangeIDBytes {
-		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "header " + HeaderChangeID + ": want a text of 1 to 128 bytes, unique to this change", Outcome: OutcomeRefused})
+		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "header " + HeaderChangeID + ": want a string of 1 to 128 bytes, unique to this change", Outcome: OutcomeRefused})
 		return "", false
 	}
 	return id, true
--- a/internal/operator/handler/handler.go
+++ b/internal/operator/handler/handler.go
@@ -1,5 +1,5 @@
-// Package handler is the HTTP interface for operators: the fleet text, zones,
-// tasks, and what the system tells of itself. Bodies are JSON in kebab case.
+// Package handler implements the HTTP API for operators: the fleet text, zones, tasks,
+// jobs, status, explanations and events. Bodies are JSON with keys in kebab case.
 package handler
 
 import (
@@ -11,13 +11,13 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-// Limits of bodies.
+// Limits of request bodies.
 const (
-	maxTextBody = 1 << 20 // above the parser's limit, so that the parser reports it
+	maxTextBody = 1 << 20 // above the limit of the parser, so that the parser reports a text that is too large
 	maxJSONBody = 8 << 20
 )
 
-// Headers of the interface.
+// Headers of the API.
 const (
 	HeaderChangeID = "Bamboospread-Change-Id"
 )
@@ -33,7 +33,7 @@
 	Reporter *reporter.Reporter
 }
 
-// Handler serves operators.
+// Handler serves the operator API.
 type Handler struct {
 	config Config
 	mux    *http.ServeMux
--- a/internal/operator/handler/jobs.go
+++ b/internal/operator/handler/jobs.go
@@ -10,24 +10,24 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// JobAnswer tells what became of a submission, a question or a cancellation.
+// JobAnswer answers a submission, a query or a cancellation of a job.
 type JobAnswer struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
-	State   string  `json:"state,omitempty"` // accountant.JobState
+	State   string  `json:"state,omitempty"` // an accountant.JobState
 }
 
-// QueueAnswer tells how many jobs of a queue have not started.
+// QueueAnswer holds the number of jobs of a queue that have not started.
 type QueueAnswer struct {
 	Queue   string `json:"queue"`
 	Pending int    `json:"pending"`
 }
 
-// Jobs is what the handler needs for jobs.
+// Jobs holds the dependencies of the handler for jobs.
 type Jobs struct {
 	Receiver *receiver.Receiver
 	Policy   func() *specifier.Policy
-	// CallOwner calls the owner of the cell of jobs.
+	// CallOwner calls the owner of the cell for jobs.
 	CallOwner func(ctx context.Context, method string, params, result any) error
 }
 
@@ -39,15 +39,15 @@
 	h.mux.HandleFunc("GET /v1/queues/{queue}", h.countQueue)
 }
 
-// submitJob takes a job: its id and queue stand in the path, so a repeat of the
-// request is the same job.
+// submitJob accepts a job. Its id and queue are in the path, so a repeated request refers
+// to the same job.
 func (h *Handler) submitJob(w http.ResponseWriter, r *http.Request) {
 	var j specifier.Job
 	if !readJSON(w, r, &j) {
 		return
 	}
 	j.ID, j.Queue = r.PathValue("id"), r.PathValue("queue")
-	if !h.knowsQueue(w, j.Queue) {
+	if !h.checkQueue(w, j.Queue) {
 		return
 	}
 	if err := specifier.Check(&j); err != nil {
@@ -57,11 +57,11 @@
 	writeJobResult(w, j.ID, h.config.Jobs.Receiver.Submit(r.Context(), &j))
 }
 
-// knowsQueue tells whether the fleet text has a queue; if not, it has answered.
-func (h *Handler) knowsQueue(w http.ResponseWriter, name string) bool {
+// checkQueue reports whether the fleet text has the queue. If not, it writes the answer.
+func (h *Handler) checkQueue(w http.ResponseWriter, name string) bool {
 	p := h.config.Jobs.Policy()
 	if p.Version == 0 {
-		writeError(w, http.StatusServiceUnavailable, ErrorAnswer{Error: "no fleet text is known here yet", Outcome: OutcomeUnavailable})
+		writeError(w, http.StatusServiceUnavailable, ErrorAnswer{Error: "this entry has no fleet text yet", Outcome: OutcomeUnavailable})
 		return false
 	}
 	if _, ok := p.QueueByName(name); !ok {
@@ -110,7 +110,7 @@
 
 func (h *Handler) countQueue(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("queue")
-	if !h.knowsQueue(w, name) {
+	if !h.checkQueue(w, name) {
 		return
 	}
 	n, err := h.config.Jobs.Receiver.Pending(r.Context(), name)
--- a/internal/operator/handler/messages.go
+++ b/internal/operator/handler/messages.go
@@ -7,37 +7,37 @@
 	"bamboospread/internal/fleet/finder"
 )
 
-// Outcome tells what became of a change.
+// Outcome is the outcome of a change.
 type Outcome string
 
 // Outcomes of a change.
 const (
 	OutcomeDone        Outcome = "done"
-	OutcomeRefused     Outcome = "refused"     // it can't be done as asked; nothing was changed
-	OutcomeConflict    Outcome = "conflict"    // another change came first; nothing was changed
+	OutcomeRefused     Outcome = "refused"     // the request is invalid or can't be carried out; nothing was changed
+	OutcomeConflict    Outcome = "conflict"    // another change was accepted first; nothing was changed
 	OutcomeUnavailable Outcome = "unavailable" // nothing was changed; try again later
-	OutcomeUnknown     Outcome = "unknown"     // send it again with the same change id
+	OutcomeUnknown     Outcome = "unknown"     // repeat the change with the same change id
 )
 
-// FleetAnswer is the fleet record in force.
+// FleetAnswer is the current fleet record.
 type FleetAnswer struct {
 	Version   int64     `json:"version"`
 	ChangeID  string    `json:"change-id,omitempty"`
 	Text      string    `json:"text"`
 	ZonesOut  []string  `json:"zones-out"` // taken out by command
 	AppliedAt time.Time `json:"applied-at,omitzero"`
-	// Stale: the store could not be asked; a newer version may be in force.
+	// Stale is set if the store could not be reached; there may be a newer version.
 	Stale bool `json:"stale"`
 }
 
-// ChangeAnswer answers a change of the fleet.
+// ChangeAnswer answers an accepted change of the fleet.
 type ChangeAnswer struct {
 	Outcome  Outcome `json:"outcome"`
 	Version  int64   `json:"version"`
 	ChangeID string  `json:"change-id"`
 }
 
-// ZoneRequest asks for a state of an availability zone.
+// ZoneRequest requests a state of an availability zone.
 type ZoneRequest struct {
 	State string `json:"state"` // in or out
 }
@@ -47,14 +47,15 @@
 	Error      string          `json:"error"`
 	Outcome    Outcome         `json:"outcome,omitempty"`
 	ChangeID   string          `json:"change-id,omitempty"`
-	Version    int64           `json:"version,omitempty"` // in force, with a conflict
+	Version    int64           `json:"version,omitempty"` // the current version, set for a conflict
 	Findings   finder.Findings `json:"findings,omitempty"`
 	Difference []string        `json:"difference,omitempty"`
-	// DifferenceFrom tells what the difference is taken from: "base" or "change".
+	// DifferenceFrom is the text to which the current one is compared: "base" or "change".
 	DifferenceFrom string `json:"difference-from,omitempty"`
 }
 
-// DecodeError reads an ErrorAnswer; a body that is none becomes its text.
+// DecodeError decodes an ErrorAnswer. Any other body is returned, truncated, as its
+// Error.
 func DecodeError(body []byte) ErrorAnswer {
 	var a ErrorAnswer
 	if err := json.Unmarshal(body, &a); err != nil || a.Error == "" {
--- a/internal/operator/handler/tasks.go
+++ b/internal/operator/handler/tasks.go
@@ -7,28 +7,28 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// MaxTasks bounds one submission.
+// MaxTasks limits the tasks of one submission.
 const MaxTasks = 10_000
 
 func (h *Handler) submitTasks(w http.ResponseWriter, r *http.Request) {
-	var wanted messenger.SubmitRequest
-	if !readJSON(w, r, &wanted) {
+	var requested messenger.SubmitRequest
+	if !readJSON(w, r, &requested) {
 		return
 	}
-	if len(wanted.Tasks) == 0 || len(wanted.Tasks) > MaxTasks {
-		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "tasks: want 1 to " + strconv.Itoa(MaxTasks), Outcome: OutcomeRefused})
+	if len(requested.Tasks) == 0 || len(requested.Tasks) > MaxTasks {
+		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "tasks: want 1 to " + strconv.Itoa(MaxTasks) + " tasks, not " + strconv.Itoa(len(requested.Tasks)), Outcome: OutcomeRefused})
 		return
 	}
-	for i, t := range wanted.Tasks {
-		// An id of the entry's making would make a repeat submit the task twice.
+	for i, t := range requested.Tasks {
+		// If the entry generated the id, a repeated request would submit the task twice.
 		if t.ID == "" {
 			writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "tasks[" + strconv.Itoa(i) + "].id is missing", Outcome: OutcomeRefused})
 			return
 		}
 	}
-	wanted.Cell = h.config.Cell
+	requested.Cell = h.config.Cell
 	var reply messenger.SubmitReply
-	h.call(w, r, messenger.MethodSubmit, wanted, &reply)
+	h.call(w, r, messenger.MethodSubmit, requested, &reply)
 }
 
 func (h *Handler) findTasks(w http.ResponseWriter, r *http.Request) {
@@ -64,17 +64,17 @@
 }
 
 func (h *Handler) cancelTasks(w http.ResponseWriter, r *http.Request) {
-	var wanted messenger.CancelRequest
-	if !readJSON(w, r, &wanted) {
+	var requested messenger.CancelRequest
+	if !readJSON(w, r, &requested) {
 		return
 	}
-	if len(wanted.IDs) == 0 && wanted.Tenant == "" {
+	if len(requested.IDs) == 0 && requested.Tenant == "" {
 		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: "want ids, or a tenant with or without a class", Outcome: OutcomeRefused})
 		return
 	}
-	wanted.Cell = h.config.Cell
+	requested.Cell = h.config.Cell
 	var reply messenger.CancelReply
-	h.call(w, r, messenger.MethodCancel, wanted, &reply)
+	h.call(w, r, messenger.MethodCancel, requested, &reply)
 }
 
 func (h *Handler) getStatus(w http.ResponseWriter, r *http.Request) {
@@ -102,7 +102,7 @@
 	h.read(w, r, messenger.MethodEvents, messenger.EventsRequest{Cell: h.config.Cell, Above: above, Limit: int(limit)}, &reply)
 }
 
-// call passes a change to the cell's owner and answers with its reply.
+// call forwards a change to the cell's owner and answers with its reply.
 func (h *Handler) call(w http.ResponseWriter, r *http.Request, method string, params, reply any) {
 	if err := h.config.CallCell(r.Context(), h.config.Cell, method, params, reply); err != nil {
 		writeCellError(w, err, false)
@@ -111,7 +111,7 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// read passes a question to the cell's owner and answers with its reply.
+// read forwards a query to the cell's owner and answers with its reply.
 func (h *Handler) read(w http.ResponseWriter, r *http.Request, method string, params, reply any) {
 	if err := h.config.CallCell(r.Context(), h.config.Cell, method, params, reply); err != nil {
 		writeCellError(w, err, true)
@@ -120,8 +120,8 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// readNumber reads a query parameter, 0 if it is absent; on failure it has
-// answered.
+// readNumber parses a query parameter, 0 if it is absent. On failure it writes the answer
+// and returns false.
 func readNumber(w http.ResponseWriter, r *http.Request, name string) (int64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -129,7 +129,7 @@
 	}
 	v, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || v < 0 {
-		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: name + ": want a whole number, not " + strconv.Quote(text), Outcome: OutcomeRefused})
+		writeError(w, http.StatusBadRequest, ErrorAnswer{Error: name + ": want a whole number of at least 0, not " + strconv.Quote(text), Outcome: OutcomeRefused})
 		return 0, false
 	}
 	return v, true
