--- a/internal/operator/requester/jobs.go
+++ b/internal/operator/requester/jobs.go
@@ -12,7 +12,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// SubmitJob submits a job. Its id makes a repeat harmless.
+// SubmitJob submits a job. Its id makes a repeat safe.
 func (q *Requester) SubmitJob(ctx context.Context, j *specifier.Job) (handler.JobAnswer, error) {
 	var a handler.JobAnswer
 	body, err := json.Marshal(j)
@@ -38,14 +38,14 @@
 	return a, err
 }
 
-// ExplainJob tells the state of a job step by step.
+// ExplainJob returns the state of a job for each step.
 func (q *Requester) ExplainJob(ctx context.Context, id string) (messenger.WorkExplainReply, error) {
 	var a messenger.WorkExplainReply
 	err := q.do(ctx, call{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(id) + "/explain", readOnly: true, result: &a})
 	return a, err
 }
 
-// CountQueue tells how many jobs of a queue have not started.
+// CountQueue returns the number of jobs of a queue that have not started.
 func (q *Requester) CountQueue(ctx context.Context, queue string) (handler.QueueAnswer, error) {
 	var a handler.QueueAnswer
 	err := q.do(ctx, call{method: http.MethodGet, path: "/v1/queues/" + url.PathEscape(queue), readOnly: true, result: &a})
--- a/internal/operator/requester/methods.go
+++ b/internal/operator/requester/methods.go
@@ -13,14 +13,14 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// GetFleet returns the fleet record in force.
+// GetFleet returns the current fleet record.
 func (q *Requester) GetFleet(ctx context.Context) (handler.FleetAnswer, error) {
 	var a handler.FleetAnswer
 	err := q.do(ctx, call{method: http.MethodGet, path: "/v1/fleet", readOnly: true, result: &a})
 	return a, err
 }
 
-// GetFleetVersion returns the text of a recent version.
+// GetFleetVersion returns the fleet text of a recent version.
 func (q *Requester) GetFleetVersion(ctx context.Context, version int64) (handler.FleetAnswer, error) {
 	var a handler.FleetAnswer
 	query := url.Values{"version": {strconv.FormatInt(version, 10)}}
@@ -28,7 +28,7 @@
 	return a, err
 }
 
-// ApplyOptions describes a new text.
+// ApplyOptions describes a new fleet text.
 type ApplyOptions struct {
 	Text     []byte
 	Base     int64
@@ -59,7 +59,7 @@
 	return a, err
 }
 
-// Submit submits tasks. Their ids make a repeat harmless.
+// Submit submits tasks. Their ids make a repeat safe.
 func (q *Requester) Submit(ctx context.Context, tasks []messenger.TaskSpec) (messenger.SubmitReply, error) {
 	var a messenger.SubmitReply
 	body, err := json.Marshal(messenger.SubmitRequest{Tasks: tasks})
@@ -70,8 +70,8 @@
 	return a, err
 }
 
-// Cancel cancels tasks. By id a repeat is harmless; by tenant and class it could
-// also take tasks that were submitted since, so it is not repeated.
+// Cancel cancels tasks. A cancellation by id is safe to repeat. One by tenant and class is
+// not repeated, because it could also cancel tasks that were submitted since.
 func (q *Requester) Cancel(ctx context.Context, c messenger.CancelRequest) (messenger.CancelReply, error) {
 	var a messenger.CancelReply
 	body, err := json.Marshal(c)
@@ -112,7 +112,7 @@
 	return a, err
 }
 
-// Explain tells the story of a task, VM or service.
+// Explain returns the history and state of a task, VM or service.
 func (q *Requester) Explain(ctx context.Context, kind, name string) (messenger.ExplainReply, error) {
 	var a messenger.ExplainReply
 	path := "/v1/explain/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
@@ -120,7 +120,7 @@
 	return a, err
 }
 
-// FindEvents lists decisions with a number above the given one.
+// FindEvents lists the events of decisions with a number above the given one.
 func (q *Requester) FindEvents(ctx context.Context, above int64, limit int) (messenger.EventsReply, error) {
 	var a messenger.EventsReply
 	query := url.Values{"above": {strconv.FormatInt(above, 10)}}
--- a/internal/operator/requester/requester.go
+++ b/internal/operator/requester/requester.go
@@ -1,5 +1,5 @@
-// Package requester is the client of the operators' HTTP interface. It tries
-// several entries, and repeats only what is harmless to repeat.
+// Package requester implements the client of the operators' HTTP API. It tries several
+// entries, and repeats only requests that are safe to repeat.
 package requester
 
 import (
@@ -18,23 +18,23 @@
 	"bamboospread/internal/operator/handler"
 )
 
-// Times of a request.
+// Limits of a request.
 const (
-	DefaultTimeout = 15 * time.Second
-	firstPause     = 50 * time.Millisecond
-	longestPause   = time.Second
-	readTryTimeout = 3 * time.Second
-	maxAnswerBytes = 64 << 20
+	DefaultTimeout     = 15 * time.Second
+	minRetryDelay      = 50 * time.Millisecond
+	maxRetryDelay      = time.Second
+	readAttemptTimeout = 3 * time.Second
+	maxAnswerBytes     = 64 << 20
 )
 
 // Config holds the settings of a Requester.
 type Config struct {
 	Entries []string      // host:port or http://host:port
-	Timeout time.Duration // of a request with its repeats; 0: DefaultTimeout
+	Timeout time.Duration // of a request including its repeats; 0: DefaultTimeout
 	HTTP    *http.Client
 }
 
-// Requester is a client; it is safe for concurrent use.
+// Requester is a client of the operator API. It is safe for concurrent use.
 type Requester struct {
 	config Config
 	client *http.Client
@@ -60,8 +60,8 @@
 	return &Requester{config: c, client: client}
 }
 
-// ErrRefused is returned when an entry answered that the request can't be done
-// as asked, or lost a race. Nothing was changed.
+// ErrRefused is returned when an entry rejected the request, for example as invalid or
+// because another change was accepted first. Nothing was changed.
 type ErrRefused struct {
 	Status int
 	Answer handler.ErrorAnswer
@@ -69,10 +69,10 @@
 
 func (e ErrRefused) Error() string { return e.Answer.Error }
 
-// IsErrRefused tells whether err is, or wraps, an ErrRefused.
+// IsErrRefused reports whether err is, or wraps, an ErrRefused.
 func IsErrRefused(err error) bool { return as[ErrRefused](err) }
 
-// ErrUnavailable is returned when no entry could do the request. Nothing was
+// ErrUnavailable is returned when no entry could carry out the request. Nothing was
 // changed.
 type ErrUnavailable struct{ Cause error }
 
@@ -83,7 +83,7 @@
 // Unwrap returns the cause.
 func (e ErrUnavailable) Unwrap() error { return e.Cause }
 
-// IsErrUnavailable tells whether err is, or wraps, an ErrUnavailable.
+// IsErrUnavailable reports whether err is, or wraps, an ErrUnavailable.
 func IsErrUnavailable(err error) bool { return as[ErrUnavailable](err) }
 
 // ErrOutcomeUnknown is returned when it is not known whether a change took
@@ -93,13 +93,13 @@
 }
 
 func (e ErrOutcomeUnknown) Error() string {
-	return fmt.Sprintf("it is not known whether this took effect: %v", e.Cause)
+	return fmt.Sprintf("it is not known whether the request took effect: %v", e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e ErrOutcomeUnknown) Unwrap() error { return e.Cause }
 
-// IsErrOutcomeUnknown tells whether err is, or wraps, an ErrOutcomeUnknown.
+// IsErrOutcomeUnknown reports whether err is, or wraps, an ErrOutcomeUnknown.
 func IsErrOutcomeUnknown(err error) bool { return as[ErrOutcomeUnknown](err) }
 
 func as[T error](err error) bool {
@@ -113,55 +113,55 @@
 	query        url.Values
 	header       http.Header
 	body         []byte
-	readOnly     bool // has no effect
-	repeatable   bool // may be sent again although an earlier one may have had its effect
+	readOnly     bool // the request has no effect
+	repeatable   bool // safe to send again after an attempt that may have taken effect
 	result       any
 }
 
-// do sends c to one entry after the other until one gives a definite answer.
+// do sends c to one entry after another until one gives a definite answer.
 //
-// A connection that breaks, or an answer of unknown outcome, leaves open whether
-// the change took effect. Asking again with the same change id settles it, and
-// from then on only an answer that follows from the store's state counts: done,
-// refused or conflict. "Unavailable" from the next entry says nothing about the
-// earlier try, so the outcome stays unknown.
+// After a broken connection, or an answer with an unknown outcome, it is open whether the
+// change took effect. Repeating it with the same change id resolves this. From then on
+// only an answer derived from the state of the store is definite: done, refused or
+// conflict. "Unavailable" from the next entry says nothing about the earlier attempt, so
+// the outcome stays unknown.
 func (q *Requester) do(ctx context.Context, c call) error {
 	if len(q.config.Entries) == 0 {
 		return ErrUnavailable{Cause: errors.New("no entries are given")}
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.config.Timeout)
 	defer cancel()
-	var unknown, last error
-	pause := firstPause
-	for try := 0; ; try++ {
-		err := q.try(ctx, q.config.Entries[try%len(q.config.Entries)], c)
+	var unknownErr, lastErr error
+	delay := minRetryDelay
+	for attempt := 0; ; attempt++ {
+		err := q.attempt(ctx, q.config.Entries[attempt%len(q.config.Entries)], c)
 		switch {
 		case err == nil || IsErrRefused(err):
 			return err
 		case IsErrOutcomeUnknown(err) && !c.readOnly:
-			unknown = err
+			unknownErr = err
 			if !c.repeatable {
-				return unknown
+				return unknownErr
 			}
 		}
-		last = err
-		if (try+1)%len(q.config.Entries) == 0 {
-			if !sleep(ctx, pause) {
+		lastErr = err
+		if (attempt+1)%len(q.config.Entries) == 0 {
+			if !sleep(ctx, delay) {
 				break
 			}
-			pause = min(2*pause, longestPause)
+			delay = min(2*delay, maxRetryDelay)
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if unknown != nil {
-		return unknown
+	if unknownErr != nil {
+		return unknownErr
 	}
-	if IsErrUnavailable(last) {
-		return last
+	if IsErrUnavailable(lastErr) {
+		return lastErr
 	}
-	return ErrUnavailable{Cause: last}
+	return ErrUnavailable{Cause: lastErr}
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
@@ -175,11 +175,11 @@
 	}
 }
 
-// try bounds one try, so that a frozen entry leaves time for another one.
-func (q *Requester) try(ctx context.Context, entry string, c call) error {
+// attempt limits the time of one attempt, so that a frozen entry leaves time for another.
+func (q *Requester) attempt(ctx context.Context, entry string, c call) error {
 	limit := q.config.Timeout * 2 / 3
 	if c.readOnly {
-		limit = min(limit, readTryTimeout)
+		limit = min(limit, readAttemptTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -199,8 +199,8 @@
 	for k, v := range c.header {
 		request.Header[k] = v
 	}
-	// The standard client sends some requests again by itself when a kept
-	// connection breaks; without GetBody it does so only if nothing was sent.
+	// The standard client repeats some requests itself when a reused connection breaks;
+	// without GetBody it does so only if nothing was sent.
 	request.GetBody = nil
 	answer, err := q.client.Do(request)
 	if err != nil {
@@ -215,10 +215,10 @@
 	if err != nil {
 		return ErrOutcomeUnknown{Cause: fmt.Errorf("read answer of %s: %w", entry, err)}
 	}
-	return judge(answer.StatusCode, body, c.result)
+	return decodeAnswer(answer.StatusCode, body, c.result)
 }
 
-func judge(status int, body []byte, result any) error {
+func decodeAnswer(status int, body []byte, result any) error {
 	if status == http.StatusOK {
 		if err := json.Unmarshal(body, result); err != nil {
 			return ErrOutcomeUnknown{Cause: fmt.Errorf("decode answer: %w", err)}
@@ -232,7 +232,7 @@
 	case a.Outcome == handler.OutcomeUnknown:
 		return ErrOutcomeUnknown{Cause: errors.New(a.Error)}
 	case status >= http.StatusInternalServerError && a.Outcome == "":
-		// Not an answer of an entry, but of something between.
+		// Not an answer of an entry, but of an intermediary.
 		return ErrOutcomeUnknown{Cause: fmt.Errorf("status %d: %s", status, a.Error)}
 	}
 	return ErrRefused{Status: status, Answer: a}
--- a/internal/operator/requester/requester_test.go
+++ b/internal/operator/requester/requester_test.go
@@ -23,10 +23,10 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// callCell stands for the owner of a cell.
+// callCell replaces the owner of a cell.
 type callCell func(method string, params, result any) error
 
-// entry is an entry's operator interface over a stand-in store.
+// entry serves the operator API of an entry over a stand-in store.
 type entry struct {
 	*httptest.Server
 	follower *follower.Follower
@@ -66,7 +66,7 @@
 func TestFleetChanges(t *testing.T) {
 	store, url := newStore(t)
 	e := newEntry(t, url, noCell)
-	// The first address is dead: the request goes on to the next one.
+	// Nothing listens at the first address: the request is sent to the next one.
 	q := New(Config{Entries: []string{"127.0.0.1:1", e.URL}, Timeout: 2 * time.Second})
 	if a, err := q.GetFleet(ctx); err != nil || a.Version != 0 || a.Stale {
 		t.Errorf("empty: %+v, %v", a, err)
@@ -96,7 +96,7 @@
 		{"no base", func() error { _, err := q.Apply(ctx, ApplyOptions{Text: text(2), Base: -1, ChangeID: "5"}); return err }, 400, handler.OutcomeRefused},
 		{"no change id", func() error { _, err := q.Apply(ctx, ApplyOptions{Text: text(2), Base: 2}); return err }, 400, handler.OutcomeRefused},
 		{"unknown zone", func() error { _, err := q.SetZone(ctx, "x/y", describer.ZoneOut, "6"); return err }, 404, handler.OutcomeRefused},
-		{"wrong state", func() error { _, err := q.SetZone(ctx, "a", "away", "7"); return err }, 400, handler.OutcomeRefused},
+		{"invalid state", func() error { _, err := q.SetZone(ctx, "a", "away", "7"); return err }, 400, handler.OutcomeRefused},
 		{"reused id", func() error { _, err := q.SetZone(ctx, "a", describer.ZoneIn, "two"); return err }, 422, handler.OutcomeRefused},
 		{"too large", func() error {
 			_, err := q.Apply(ctx, ApplyOptions{Text: make([]byte, 2<<20), Base: 2, ChangeID: "8"})
@@ -122,41 +122,41 @@
 	}
 }
 
-// TestLostAnswerOfAnEntryIsSettledByTheNext lets the first entry do the change
-// and lose its answer. The operator must be told the version that it has, and
-// not of a conflict with the own change.
-func TestLostAnswerOfAnEntryIsSettledByTheNext(t *testing.T) {
+// TestLostAnswerIsResolvedByNextEntry applies a change through an entry whose answer is
+// lost. The operator must get the version of the change, not a conflict with their own
+// change.
+func TestLostAnswerIsResolvedByNextEntry(t *testing.T) {
 	_, url := newStore(t)
 	e := newEntry(t, url, noCell)
-	var lose sync.Once
-	losing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var loseOnce sync.Once
+	losingAnswer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		lost := false
-		lose.Do(func() { lost = true })
+		loseOnce.Do(func() { lost = true })
 		if lost {
 			e.Config.Handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
 		http.Error(w, "gateway", http.StatusBadGateway)
 	}))
-	t.Cleanup(losing.Close)
-	a, err := New(Config{Entries: []string{losing.URL, e.URL}}).Apply(ctx, ApplyOptions{Text: text(1), ChangeID: "one"})
+	t.Cleanup(losingAnswer.Close)
+	a, err := New(Config{Entries: []string{losingAnswer.URL, e.URL}}).Apply(ctx, ApplyOptions{Text: text(1), ChangeID: "one"})
 	if err != nil || a.Version != 1 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	// With no entry that can settle it, it must be told as unknown, although the
+	// If no entry can resolve the outcome, it must be reported as unknown, although the
 	// last answer alone would mean that nothing was done.
-	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	unavailable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		fmt.Fprint(w, `{"error":"store away","outcome":"unavailable"}`)
 	}))
-	t.Cleanup(refusing.Close)
-	_, err = New(Config{Entries: []string{losing.URL, refusing.URL}, Timeout: 300 * time.Millisecond}).Apply(ctx, ApplyOptions{Text: text(1), Base: 1, ChangeID: "two"})
+	t.Cleanup(unavailable.Close)
+	_, err = New(Config{Entries: []string{losingAnswer.URL, unavailable.URL}, Timeout: 300 * time.Millisecond}).Apply(ctx, ApplyOptions{Text: text(1), Base: 1, ChangeID: "two"})
 	if !IsErrOutcomeUnknown(err) {
 		t.Errorf("got %v, want an unknown outcome", err)
 	}
 }
 
-func TestTasksGoToTheOwner(t *testing.T) {
+func TestTaskRequestsReachOwner(t *testing.T) {
 	_, url := newStore(t)
 	var got []string
 	failure := error(nil)
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestCancelByClassIsNotRepeated: sent again after a lost answer, it would also
-// cancel what was submitted since.
+// TestCancelByClassIsNotRepeated guards against a repeat after a lost answer, which would
+// also cancel the tasks that were submitted since.
 func TestCancelByClassIsNotRepeated(t *testing.T) {
 	_, url := newStore(t)
 	calls := 0
