--- a/internal/service/hoster/hoster.go
+++ b/internal/service/hoster/hoster.go
@@ -42,7 +42,7 @@
 // Ports of a process. Entries and agents never share a VM, so they may use the same ports.
 const (
 	rpcOffset   = 0    // from InternalPort, the first port that is free for our own processes
-	metricsPort = 9464 // as deploy/system.toml says
+	metricsPort = 9464 // as configured in deploy/system.toml
 )
 
 // Timeouts of the HTTP servers.
