--- a/internal/fleet/follower/follower_test.go
+++ b/internal/fleet/follower/follower_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// TestRecordComesFromPeerWithoutStore runs without a reachable store, as after an outage
-// right after an accepted change: a process that missed the change gets it from a peer.
+// TestRecordComesFromPeerWithoutStore runs a process that missed an accepted change because
+// the store became unreachable right after it: it must get the change from a peer.
 func TestRecordComesFromPeerWithoutStore(t *testing.T) {
 	store, k := newStore(t)
 	store.SetFaults(storer.Faults{Down: true})
@@ -310,7 +310,7 @@
 // TestStalledWatchDelaysChangeBriefly stalls the connection of a waiting watch without
 // closing it, in a process without peers, while the text changes. Jobs start according to
 // the current text, so a zone that was taken out would get starts until the stalled watch
-// is given up.
+// times out.
 func TestStalledWatchDelaysChangeBriefly(t *testing.T) {
 	const maxDelay = 2 * time.Second
 	var stallNext atomic.Bool
--- a/internal/operator/requester/requester.go
+++ b/internal/operator/requester/requester.go
@@ -120,8 +120,8 @@
 
 // do sends c to one entry after another until one gives a definite answer.
 //
-// After a broken connection, or an answer with an unknown outcome, it is open whether the
-// change took effect. Repeating it with the same change id resolves this. From then on
+// After a broken connection, or an answer with an unknown outcome, it is unknown whether
+// the change took effect. Repeating it with the same change id resolves this. From then on
 // only an answer derived from the state of the store is definite: done, refused or
 // conflict. "Unavailable" from the next entry says nothing about the earlier attempt, so
 // the outcome stays unknown.
--- a/internal/service/server/jobs.go
+++ b/internal/service/server/jobs.go
@@ -48,7 +48,7 @@
 	})
 	s.jobs.receiver = receiver.New(receiver.Config{
 		Store: calls, StoreLost: observed.Lost,
-		StoreAge:  func() time.Duration { return 0 }, // the only calls sure to be sent are watches that wait for seconds
+		StoreAge:  func() time.Duration { return 0 }, // not measured: the only calls made regularly are watches, which wait for seconds
 		CallOwner: s.jobs.forwarder.Call, NotDone: forwarder.NotDone, NotOwner: forwarder.NotOwner, Now: timekeeper.Now, Reporter: c.Reporter,
 	})
 }
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -211,7 +211,8 @@
 
 // releaseOwnership releases the ownership of the cell. While the store is unreachable
 // that is not possible; waiting for the store would delay the stop to its limit and make
-// it fail. The lease then expires, and nothing was answered that is not in the journal.
+// it fail. The lease then expires, which loses nothing: only decisions that are in the
+// journal have been answered.
 func (s *Server) releaseOwnership(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
