--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -1,5 +1,5 @@
-// Package server holds what the stand-ins share: serving HTTP until a context
-// ends, and JSON bodies.
+// Package server provides the HTTP server and the JSON helpers that the stand-ins
+// share.
 package server
 
 import (
@@ -15,7 +15,7 @@
 // stopLimit bounds the wait for requests in flight when a stand-in stops.
 const stopLimit = 10 * time.Second
 
-// Serve answers on l until ctx ends, then finishes what is in flight.
+// Serve serves on l until ctx ends, then waits for the requests in flight.
 func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: stopLimit}
 	ended := make(chan error, 1)
@@ -25,9 +25,9 @@
 		return fmt.Errorf("serve on %s: %w", l.Addr(), err)
 	case <-ctx.Done():
 	}
-	late, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
 	defer cancel()
-	err := s.Shutdown(late)
+	err := s.Shutdown(stopCtx)
 	if served := <-ended; !errors.Is(served, http.ErrServerClosed) {
 		err = errors.Join(err, served)
 	}
@@ -44,9 +44,9 @@
 	return true
 }
 
-// WriteJSON answers with v.
+// WriteJSON answers with the status and v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
 }
