--- a/internal/standin/recorder/recorder.go
+++ b/internal/standin/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder keeps what a stand-in saw, as JSON lines in a file, so that
-// it survives the sudden end of the process.
+// Package recorder appends the events of a stand-in to a file as JSON lines, so
+// that they survive a crash of the process.
 package recorder
 
 import (
@@ -28,8 +28,9 @@
 	return &Recorder{file: f}, nil
 }
 
-// Append writes one record. A line is written with one call, unbuffered: what
-// happened before a kill stands in the file, and no line is cut.
+// Append writes one record. Each line is written unbuffered with a single call:
+// what happened before the process was killed is in the file, and no line is
+// truncated.
 func (r *Recorder) Append(v any) {
 	if r == nil {
 		return
@@ -41,6 +42,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, err := r.file.Write(append(line, '\n')); err != nil {
-		panic(fmt.Sprintf("write witness record: %v", err)) // a test must not go on half blind
+		panic(fmt.Sprintf("write witness record: %v", err)) // a test must not continue with an incomplete record
 	}
 }
