--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -13,11 +13,11 @@
 )
 
 func (e *Executor) routes() {
-	e.mux.HandleFunc("GET "+steerer.PathVM, e.describe)
+	e.mux.HandleFunc("GET "+steerer.PathVM, e.describeVM)
 	handle(e, steerer.PathStart, true, e.startLocked)
 	handle(e, steerer.PathStop, true, e.stopLocked)
 	handle(e, steerer.PathPace, false, e.paceLocked)
-	e.mux.HandleFunc("POST "+steerer.PathLook, e.look)
+	e.mux.HandleFunc("POST "+steerer.PathLook, e.pollStatus)
 	e.mux.HandleFunc("POST /control/faults", func(rw http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if server.ReadJSON(rw, r, &f) {
@@ -30,46 +30,46 @@
 	})
 }
 
-// handle registers an order; do runs with the lock held and tasks up to date. With
-// the fault "late" an order that may be late gets no answer and is carried out
-// later. Another life of the executor than the one that it names refuses it then, too.
-func handle[C any](e *Executor, path string, mayBeLate bool, do func(C) (int, any)) {
+// handle registers an order. do runs with the lock held, after tasks were advanced to
+// the present. With the fault late-ms, a delayable order gets no answer and is executed
+// after the delay. Then too it is refused if it names another incarnation of the executor.
+func handle[C any](e *Executor, path string, delayable bool, do func(C) (int, any)) {
 	e.mux.HandleFunc("POST "+path, func(rw http.ResponseWriter, r *http.Request) {
 		var c C
 		if !server.ReadJSON(rw, r, &c) {
 			return
 		}
-		carryOutLocked := func() (int, any) {
-			if want := r.Header.Get(steerer.HeaderLife); want != "" && want != e.lifeName() {
+		executeLocked := func() (int, any) {
+			if want := r.Header.Get(steerer.HeaderLife); want != "" && want != e.incarnationName() {
 				return refusal(guardian.RefusedLife)
 			}
 			e.advanceLocked()
 			return do(c)
 		}
 		e.mu.Lock()
-		late := time.Duration(e.faults.LateMillis) * time.Millisecond
-		if e.faults.Silent || mayBeLate && late > 0 {
+		delay := time.Duration(e.faults.LateMillis) * time.Millisecond
+		if e.faults.Silent || delayable && delay > 0 {
 			silent := e.faults.Silent
 			e.mu.Unlock()
 			if !silent {
-				time.AfterFunc(late, func() {
+				time.AfterFunc(delay, func() {
 					e.mu.Lock()
 					defer e.mu.Unlock()
-					carryOutLocked()
+					executeLocked()
 				})
 			}
 			<-r.Context().Done()
 			return
 		}
 		defer e.mu.Unlock()
-		status, body := carryOutLocked()
+		status, body := executeLocked()
 		server.WriteJSON(rw, status, body)
 	})
 }
 
-func (e *Executor) describe(rw http.ResponseWriter, r *http.Request) {
+func (e *Executor) describeVM(rw http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	vm := steerer.VM{Life: e.lifeName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
+	vm := steerer.VM{Life: e.incarnationName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
 	silent := e.faults.Silent
 	e.mu.Unlock()
 	if silent {
@@ -79,8 +79,8 @@
 	server.WriteJSON(rw, http.StatusOK, vm)
 }
 
-// fencedLocked refuses an epoch below the highest one seen.
-func (e *Executor) fencedLocked(epoch int64) bool {
+// isStaleEpochLocked reports whether epoch is below the highest one seen, and else records it.
+func (e *Executor) isStaleEpochLocked(epoch int64) bool {
 	if epoch < e.epoch {
 		return true
 	}
@@ -88,21 +88,21 @@
 	return false
 }
 
-func (e *Executor) leaseLocked(untilMillis int64) {
+func (e *Executor) extendLeaseLocked(untilMillis int64) {
 	until := min(time.Duration(untilMillis)*time.Millisecond, e.clockLocked()+e.config.LeaseMax)
 	e.leaseEnd = max(e.leaseEnd, until)
 }
 
 func (e *Executor) startLocked(c steerer.Start) (int, any) {
-	if e.fencedLocked(c.Epoch) {
+	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
-	e.leaseLocked(c.LeaseMillis)
+	e.extendLeaseLocked(c.LeaseMillis)
 	r := e.runs[c.Task]
 	switch {
 	case r != nil && r.number == c.Run:
 		return http.StatusOK, struct{}{}
-	case c.Run <= e.marks[c.Task] || r != nil && c.Run < r.number:
+	case c.Run <= e.highestEnded[c.Task] || r != nil && c.Run < r.number:
 		return refusal(guardian.RefusedRun)
 	case e.clockLocked().Milliseconds() > c.LeaseMillis:
 		return refusal(guardian.RefusedLease)
@@ -114,24 +114,24 @@
 		return refusal(guardian.RefusedMalformed)
 	}
 	if r != nil {
-		e.noteLocked(Event{Kind: "end", Task: c.Task, Run: r.number, How: string(accountant.EndLost)})
+		e.recordLocked(Event{Kind: "end", Task: c.Task, Run: r.number, How: string(accountant.EndLost)})
 	}
 	r = &run{task: c.Task, number: c.Run, payload: p, pace: 100}
-	if ms, ok := strings.CutPrefix(c.Checkpoint, progressPrefix); ok {
+	if ms, ok := strings.CutPrefix(c.Checkpoint, checkpointPrefix); ok {
 		if done, err := strconv.ParseInt(ms, 10, 64); err == nil {
 			r.progress = time.Duration(done) * time.Millisecond
 		}
 	}
 	e.runs[c.Task] = r
-	e.noteLocked(Event{Kind: "start", Task: c.Task, Run: c.Run, Epoch: c.Epoch, Payload: c.Payload})
+	e.recordLocked(Event{Kind: "start", Task: c.Task, Run: c.Run, Epoch: c.Epoch, Payload: c.Payload})
 	return http.StatusOK, struct{}{}
 }
 
 func (e *Executor) stopLocked(c steerer.Stop) (int, any) {
-	if e.fencedLocked(c.Epoch) {
+	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
-	e.marks[c.Task] = max(e.marks[c.Task], c.Run)
+	e.highestEnded[c.Task] = max(e.highestEnded[c.Task], c.Run)
 	if r := e.runs[c.Task]; r != nil && r.number <= c.Run && r.stopAt.IsZero() {
 		r.stopAt = e.config.Now().Add(e.config.StopTime)
 	}
@@ -139,7 +139,7 @@
 }
 
 func (e *Executor) paceLocked(c steerer.Pace) (int, any) {
-	if e.fencedLocked(c.Epoch) {
+	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
 	if r := e.runs[c.Task]; r != nil && r.number == c.Run && c.Percent >= 0 && c.Percent <= 100 {
@@ -148,8 +148,9 @@
 	return http.StatusOK, struct{}{}
 }
 
-// look waits for an end, then lists what runs and what ended.
-func (e *Executor) look(rw http.ResponseWriter, r *http.Request) {
+// pollStatus waits until a run ends or the wait time is over, then lists the running tasks
+// and the ends that were not acknowledged.
+func (e *Executor) pollStatus(rw http.ResponseWriter, r *http.Request) {
 	var c steerer.Look
 	if !server.ReadJSON(rw, r, &c) {
 		return
@@ -160,7 +161,7 @@
 		<-r.Context().Done()
 		return
 	}
-	if e.fencedLocked(c.Epoch) {
+	if e.isStaleEpochLocked(c.Epoch) {
 		e.mu.Unlock()
 		status, body := refusal(guardian.RefusedEpoch)
 		server.WriteJSON(rw, status, body)
@@ -168,10 +169,10 @@
 	}
 	e.advanceLocked()
 	if c.LeaseMillis > 0 {
-		e.leaseLocked(c.LeaseMillis)
+		e.extendLeaseLocked(c.LeaseMillis)
 	}
-	e.forgetLocked(c.Seen)
-	if wait := min(time.Duration(c.WaitMillis)*time.Millisecond, maxWait); len(e.ends) == 0 && wait > 0 {
+	e.acknowledgeLocked(c.Seen)
+	if wait := min(time.Duration(c.WaitMillis)*time.Millisecond, maxPollWait); len(e.ends) == 0 && wait > 0 {
 		changed := e.changed
 		e.mu.Unlock()
 		select {
@@ -182,25 +183,25 @@
 		e.mu.Lock()
 	}
 	e.advanceLocked()
-	seen := e.seenLocked()
+	seen := e.statusLocked()
 	e.mu.Unlock()
 	server.WriteJSON(rw, http.StatusOK, seen)
 }
 
-func (e *Executor) forgetLocked(seen int64) {
+func (e *Executor) acknowledgeLocked(seen int64) {
 	for len(e.ends) > 0 && e.ends[0].Seq <= seen {
-		e.noteLocked(Event{Kind: "acknowledged", Task: e.ends[0].Task, Run: e.ends[0].Run, How: e.ends[0].How})
+		e.recordLocked(Event{Kind: "acknowledged", Task: e.ends[0].Task, Run: e.ends[0].Run, How: e.ends[0].How})
 		e.ends = e.ends[1:]
 	}
 }
 
-func (e *Executor) seenLocked() steerer.Seen {
-	s := steerer.Seen{Life: e.lifeName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]steerer.End(nil), e.ends...)}
-	for _, key := range e.keysLocked() {
+func (e *Executor) statusLocked() steerer.Seen {
+	s := steerer.Seen{Life: e.incarnationName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]steerer.End(nil), e.ends...)}
+	for _, key := range e.sortedTasksLocked() {
 		r := e.runs[key]
 		v := steerer.Run{Task: r.task, Run: r.number, Checkpoint: r.checkpoint(), Progress: 100, Measure: r.payload.TailMillis}
-		if goal := r.payload.RunMillis; goal > 0 {
-			v.Progress = int(100 * r.progress.Milliseconds() / goal)
+		if runTime := r.payload.RunMillis; runTime > 0 {
+			v.Progress = int(100 * r.progress.Milliseconds() / runTime)
 		}
 		s.Runs = append(s.Runs, v)
 	}
--- a/internal/standin/executor/calls_test.go
+++ b/internal/standin/executor/calls_test.go
@@ -12,24 +12,24 @@
 	"bamboospread/internal/worker/steerer"
 )
 
-// Guards against a stand-in that refuses less, or more, than the workers that it stands for: a
-// start is void after its time and in another life, also when it is carried out late.
-func TestWhichStartsAreCarriedOut(t *testing.T) {
-	const late = 200 * time.Millisecond
+// The stand-in must refuse the same starts as a real executor: a start has expired after its
+// deadline and in another incarnation, also when its execution is delayed.
+func TestExpiredStartsAreRefused(t *testing.T) {
+	const delay = 200 * time.Millisecond
 	tests := []struct {
-		name    string
-		life    string        // that the start names; empty: the present one
-		valid   time.Duration // from now on
-		late    bool          // it is carried out late
-		reborn  bool          // another life begins before
-		started bool
+		name        string
+		incarnation string        // that the start names; empty: the current one
+		valid       time.Duration // until the deadline
+		delayed     bool          // execution is delayed
+		restarted   bool          // a new incarnation starts before it is executed
+		started     bool
 	}{
-		{"at once", "", time.Second, false, false, true},
-		{"for another life", "other", time.Second, false, false, false},
-		{"after its time", "", -time.Millisecond, false, false, false},
-		{"late, in time", "", time.Second, true, false, true},
-		{"late, after its time", "", late / 2, true, false, false},
-		{"late, in another life", "", time.Minute, true, true, false},
+		{"without delay", "", time.Second, false, false, true},
+		{"for another incarnation", "other", time.Second, false, false, false},
+		{"after its deadline", "", -time.Millisecond, false, false, false},
+		{"delayed, before its deadline", "", time.Second, true, false, true},
+		{"delayed, after its deadline", "", delay / 2, true, false, false},
+		{"delayed, in another incarnation", "", time.Minute, true, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,28 +38,28 @@
 			server := httptest.NewServer(e.Handler())
 			t.Cleanup(server.Close)
 			calls := steerer.New(steerer.Config{URL: server.URL}).Calls()
-			time.Sleep(2 * time.Millisecond) // its clock is above 0
+			time.Sleep(2 * time.Millisecond) // so that the clock of the executor is above 0
 			seen, err := calls.Look(t.Context(), guardian.LookCall{LeaseUntil: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
-			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Life: tt.life, Until: seen.Clock + tt.valid}
+			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Life: tt.incarnation, Until: seen.Clock + tt.valid}
 			if call.Life == "" {
 				call.Life = seen.Life
 			}
-			if tt.late {
-				e.SetFaults(Faults{LateMillis: late.Milliseconds()})
+			if tt.delayed {
+				e.SetFaults(Faults{LateMillis: delay.Milliseconds()})
 			}
-			limit, cancel := context.WithTimeout(t.Context(), late/2)
+			limit, cancel := context.WithTimeout(t.Context(), delay/2)
 			defer cancel()
 			err = calls.Start(limit, call)
 			var refused guardian.ErrRefused
-			if !tt.late && (err == nil) != tt.started || !tt.started && !tt.late && !errors.As(err, &refused) || tt.late && err == nil {
+			if !tt.delayed && (err == nil) != tt.started || !tt.started && !tt.delayed && !errors.As(err, &refused) || tt.delayed && err == nil {
 				t.Errorf("answered %v", err)
 			}
-			e.SetFaults(Faults{RebornNow: tt.reborn})
-			if tt.late {
-				time.Sleep(2 * late)
+			e.SetFaults(Faults{RebornNow: tt.restarted})
+			if tt.delayed {
+				time.Sleep(2 * delay)
 			}
 			starts := 0
 			for _, v := range e.Events() {
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -1,8 +1,8 @@
-// Package executor is a stand-in for the executor of a VM: it runs pretended tasks
-// of jobs under leases, marks what was stopped, keeps ends until they are
-// acknowledged, carries orders out late on demand and begins a new life on demand.
-// It refuses nothing for want of room: tests use its record of starts and ends as
-// the witness for what the scheduler promises.
+// Package executor is a stand-in for the executor of a VM. It runs simulated tasks
+// of jobs under leases, remembers which runs were stopped, and keeps ends until they
+// are acknowledged. On demand it delays orders or starts a new incarnation.
+// It does not refuse starts for lack of capacity: tests use its record of starts and
+// ends to check the guarantees of the scheduler.
 package executor
 
 import (
@@ -26,14 +26,14 @@
 )
 
 const (
-	step = 10 * time.Millisecond // how often tasks move on
-	// maxStep bounds the work done between two steps: a process that was paused
-	// has done none meanwhile.
-	maxStep        = 250 * time.Millisecond
-	failAfter      = 30 * time.Millisecond // on a VM that fails everything
-	maxWait        = 2 * time.Second
-	defaultRun     = 500 * time.Millisecond
-	progressPrefix = "progress-ms="
+	advanceInterval = 10 * time.Millisecond // between two updates of the progress of tasks
+	// maxAdvance limits the progress made between two updates: a process that was paused
+	// made none in the meantime.
+	maxAdvance       = 250 * time.Millisecond
+	failDelay        = 30 * time.Millisecond // run time of a task with the fault fail-all
+	maxPollWait      = 2 * time.Second
+	defaultRunTime   = 500 * time.Millisecond
+	checkpointPrefix = "progress-ms="
 )
 
 // Config holds the settings of an Executor.
@@ -41,19 +41,20 @@
 	VM       string
 	Capacity specifier.Resources
 	Labels   []string
-	LeaseMax time.Duration // longer leases are shortened; default 10 s
-	StopTime time.Duration // that a stop takes; default 50 ms
+	LeaseMax time.Duration // longer leases are shortened to this; default 10 s
+	StopTime time.Duration // duration of a stop; default 50 ms
 	Now      func() time.Time
-	Witness  func(Event)        // told of each start and end; may be nil
-	Recorder *recorder.Recorder // likewise; may be nil
+	OnEvent  func(Event)        // called for each event; may be nil
+	Recorder *recorder.Recorder // records each event; may be nil
 }
 
-// Event is a start or an end, as the executor saw it.
+// Event is a start or an end of a run, the acknowledgement of an end, or the expiry
+// of the leases.
 type Event struct {
 	At      time.Time `json:"at"`
 	VM      string    `json:"vm"`
 	Life    string    `json:"life"`
-	Kind    string    `json:"kind"` // start, end, acknowledged, or lapse of all leases
+	Kind    string    `json:"kind"` // start, end, acknowledged, or lapse (all leases expired)
 	Task    string    `json:"task"`
 	Run     int64     `json:"run"`
 	How     string    `json:"how,omitempty"`
@@ -61,12 +62,12 @@
 	Payload string    `json:"payload,omitempty"`
 }
 
-// payload tells a task how to behave.
+// payload controls the behaviour of a task.
 type payload struct {
 	RunMillis  int64 `json:"run-ms"`       // run time; 0: half a second; below 0: until it is stopped
 	Fail       bool  `json:"fail"`         // ends failed after the run time
-	TailMillis int64 `json:"tail-ms"`      // of a lasting task, undisturbed
-	Checkpoint bool  `json:"checkpointed"` // hands out checkpoints
+	TailMillis int64 `json:"tail-ms"`      // tail latency that a long-running task reports
+	Checkpoint bool  `json:"checkpointed"` // reports checkpoints
 }
 
 type run struct {
@@ -75,20 +76,20 @@
 	payload  payload
 	progress time.Duration
 	pace     int
-	stopAt   time.Time // zero: not being stopped
+	stopAt   time.Time // when a stop completes; zero: not being stopped
 }
 
 // Faults are the faults in force.
 type Faults struct {
 	FailAll      bool  `json:"fail-all"`
-	Refuse       bool  `json:"refuse"`         // starts, surely
-	Silent       bool  `json:"silent"`         // no call is answered; none is carried out
-	LateMillis   int64 `json:"late-ms"`        // starts and stops are not answered and carried out so much later
-	Leaving      bool  `json:"leaving"`        // says that it leaves
-	SpeedPercent int64 `json:"speed-percent"`  // 0: 100
-	RebornNow    bool  `json:"reborn-now"`     // forgets everything and begins another life
+	Refuse       bool  `json:"refuse"`         // refuse all starts; they have no effect
+	Silent       bool  `json:"silent"`         // neither execute nor answer any call
+	LateMillis   int64 `json:"late-ms"`        // do not answer starts and stops, and execute them after this delay
+	Leaving      bool  `json:"leaving"`        // report that the VM is leaving
+	SpeedPercent int64 `json:"speed-percent"`  // of all tasks; 0: 100
+	RebornNow    bool  `json:"reborn-now"`     // drop all state and start a new incarnation, once
 	HoldProgress bool  `json:"stands-still"`   // tasks make no progress
-	ClockSlow    int64 `json:"clock-slow-pct"` // its clock runs so many percent slow
+	ClockSlow    int64 `json:"clock-slow-pct"` // percentage by which the clock runs slow
 }
 
 // Executor is the executor of one VM. It is safe for concurrent use.
@@ -96,20 +97,20 @@
 	config Config
 	mux    *http.ServeMux
 
-	mu       sync.Mutex
-	life     int64
-	bornAt   time.Time
-	epoch    int64 // highest seen in this life
-	runs     map[string]*run
-	marks    map[string]int64 // highest run stopped or ended, by task
-	ends     []steerer.End
-	seq      int64
-	leaseEnd time.Duration // on the clock of this life
-	lapsed   bool
-	last     time.Time
-	faults   Faults
-	changed  chan struct{}
-	events   []Event
+	mu           sync.Mutex
+	incarnation  int64
+	startedAt    time.Time
+	epoch        int64 // highest one seen in this incarnation
+	runs         map[string]*run
+	highestEnded map[string]int64 // highest run that was stopped or has ended, by task
+	ends         []steerer.End
+	seq          int64
+	leaseEnd     time.Duration // on the clock of this incarnation
+	leaseExpired bool
+	advancedAt   time.Time
+	faults       Faults
+	changed      chan struct{}
+	events       []Event
 }
 
 // New returns an Executor without runs.
@@ -124,35 +125,35 @@
 		c.Now = time.Now
 	}
 	e := &Executor{config: c, mux: http.NewServeMux(), changed: make(chan struct{})}
-	e.beginLifeLocked()
+	e.startIncarnationLocked()
 	e.routes()
 	return e
 }
 
-func (e *Executor) beginLifeLocked() {
-	for _, key := range e.keysLocked() {
-		e.noteLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, How: string(accountant.EndLost)})
+func (e *Executor) startIncarnationLocked() {
+	for _, key := range e.sortedTasksLocked() {
+		e.recordLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, How: string(accountant.EndLost)})
 	}
-	e.life++
-	e.bornAt, e.last = e.config.Now(), e.config.Now()
-	e.epoch, e.seq, e.leaseEnd, e.lapsed = 0, 0, 0, false
-	e.runs, e.marks, e.ends = make(map[string]*run), make(map[string]int64), nil
+	e.incarnation++
+	e.startedAt, e.advancedAt = e.config.Now(), e.config.Now()
+	e.epoch, e.seq, e.leaseEnd, e.leaseExpired = 0, 0, 0, false
+	e.runs, e.highestEnded, e.ends = make(map[string]*run), make(map[string]int64), nil
 }
 
-// lifeName differs between lives, also of several processes.
-func (e *Executor) lifeName() string { return strconv.FormatInt(e.bornAt.UnixNano(), 36) }
+// incarnationName identifies the incarnation. It is unique across processes too.
+func (e *Executor) incarnationName() string { return strconv.FormatInt(e.startedAt.UnixNano(), 36) }
 
 // Handler returns the executor's HTTP interface.
 func (e *Executor) Handler() http.Handler { return e.mux }
 
-// Run serves on l and moves tasks on until ctx ends.
+// Run serves on l and advances tasks until ctx ends.
 func (e *Executor) Run(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		e.moveOn(ctx)
+		e.advanceLoop(ctx)
 	}()
 	err := server.Serve(ctx, l, e.mux)
 	cancel()
@@ -160,8 +161,8 @@
 	return err
 }
 
-func (e *Executor) moveOn(ctx context.Context) {
-	ticker := time.NewTicker(step)
+func (e *Executor) advanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -175,38 +176,38 @@
 	}
 }
 
-// clockLocked is the executor's own clock.
+// clockLocked returns the time on the executor's own clock.
 func (e *Executor) clockLocked() time.Duration {
-	d := e.config.Now().Sub(e.bornAt)
+	d := e.config.Now().Sub(e.startedAt)
 	return d - d*time.Duration(e.faults.ClockSlow)/100
 }
 
-// advanceLocked moves tasks on to now.
+// advanceLocked updates all tasks to the present.
 func (e *Executor) advanceLocked() {
 	now := e.config.Now()
-	passed := min(now.Sub(e.last), maxStep)
-	e.last = now
-	lapsed := e.clockLocked() > e.leaseEnd
-	if lapsed && !e.lapsed && e.leaseEnd > 0 {
-		e.noteLocked(Event{Kind: "lapse"})
+	elapsed := min(now.Sub(e.advancedAt), maxAdvance)
+	e.advancedAt = now
+	leaseExpired := e.clockLocked() > e.leaseEnd
+	if leaseExpired && !e.leaseExpired && e.leaseEnd > 0 {
+		e.recordLocked(Event{Kind: "lapse"})
 	}
-	e.lapsed = lapsed
-	for _, key := range e.keysLocked() {
+	e.leaseExpired = leaseExpired
+	for _, key := range e.sortedTasksLocked() {
 		r := e.runs[key]
 		switch {
-		case lapsed:
+		case leaseExpired:
 			e.endLocked(r, accountant.EndLapsed)
 		case !r.stopAt.IsZero():
 			if !now.Before(r.stopAt) {
 				e.endLocked(r, accountant.EndStopped)
 			}
 		default:
-			e.workLocked(r, passed)
+			e.advanceRunLocked(r, elapsed)
 		}
 	}
 }
 
-func (e *Executor) workLocked(r *run, passed time.Duration) {
+func (e *Executor) advanceRunLocked(r *run, elapsed time.Duration) {
 	if e.faults.HoldProgress {
 		return
 	}
@@ -214,15 +215,15 @@
 	if speed <= 0 {
 		speed = 100
 	}
-	r.progress += passed * time.Duration(speed) * time.Duration(r.pace) / (100 * 100)
-	goal := time.Duration(r.payload.RunMillis) * time.Millisecond
-	if goal == 0 {
-		goal = defaultRun
+	r.progress += elapsed * time.Duration(speed) * time.Duration(r.pace) / (100 * 100)
+	runTime := time.Duration(r.payload.RunMillis) * time.Millisecond
+	if runTime == 0 {
+		runTime = defaultRunTime
 	}
 	switch {
-	case e.faults.FailAll && r.progress >= failAfter:
+	case e.faults.FailAll && r.progress >= failDelay:
 		e.endLocked(r, accountant.EndFailed)
-	case goal < 0 || r.progress < goal:
+	case runTime < 0 || r.progress < runTime:
 	case r.payload.Fail:
 		e.endLocked(r, accountant.EndFailed)
 	default:
@@ -230,7 +231,7 @@
 	}
 }
 
-func (e *Executor) keysLocked() []string {
+func (e *Executor) sortedTasksLocked() []string {
 	keys := make([]string, 0, len(e.runs))
 	for k := range e.runs {
 		keys = append(keys, k)
@@ -241,10 +242,10 @@
 
 func (e *Executor) endLocked(r *run, how accountant.End) {
 	e.seq++
-	e.marks[r.task] = max(e.marks[r.task], r.number)
+	e.highestEnded[r.task] = max(e.highestEnded[r.task], r.number)
 	delete(e.runs, r.task)
 	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, How: string(how), Checkpoint: r.checkpoint()})
-	e.noteLocked(Event{Kind: "end", Task: r.task, Run: r.number, How: string(how)})
+	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, How: string(how)})
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
@@ -253,19 +254,19 @@
 	if !r.payload.Checkpoint {
 		return ""
 	}
-	return progressPrefix + strconv.FormatInt(r.progress.Milliseconds(), 10)
+	return checkpointPrefix + strconv.FormatInt(r.progress.Milliseconds(), 10)
 }
 
-func (e *Executor) noteLocked(v Event) {
-	v.At, v.VM, v.Life = e.config.Now(), e.config.VM, e.lifeName()
+func (e *Executor) recordLocked(v Event) {
+	v.At, v.VM, v.Life = e.config.Now(), e.config.VM, e.incarnationName()
 	e.events = append(e.events, v)
-	if e.config.Witness != nil {
-		e.config.Witness(v)
+	if e.config.OnEvent != nil {
+		e.config.OnEvent(v)
 	}
 	e.config.Recorder.Append(v)
 }
 
-// Events returns the starts and ends so far.
+// Events returns the events so far, oldest first.
 func (e *Executor) Events() []Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -278,7 +279,7 @@
 	defer e.mu.Unlock()
 	e.advanceLocked()
 	if f.RebornNow {
-		e.beginLifeLocked()
+		e.startIncarnationLocked()
 		f.RebornNow = false
 	}
 	e.faults = f
