--- a/internal/standin/responder/announce.go
+++ b/internal/standin/responder/announce.go
@@ -11,13 +11,13 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// UpstreamsPath is where an agent takes announcements.
+// UpstreamsPath is the path at which an agent accepts announcements.
 const UpstreamsPath = "/v1/upstreams"
 
-// leaveTries is how often an upstream tells its agent that it leaves.
-const leaveTries = 5
+// leaveAttempts is the number of attempts to notify the agent that the upstream leaves.
+const leaveAttempts = 5
 
-// Announcement is what an upstream tells its agent each second.
+// Announcement is the message that an upstream sends to its agent each second.
 type Announcement struct {
 	ID          string                  `json:"id"`
 	Service     string                  `json:"service"`
@@ -25,12 +25,12 @@
 	Slots       int                     `json:"slots"`
 	Connections int                     `json:"connections"`
 	State       messenger.UpstreamState `json:"state"`
-	// SentAtMillis is the Unix time of sending: an agent that was paused finds
-	// old announcements when it wakes and must not take them for new ones.
+	// SentAtMillis is the Unix time of sending: an agent that was paused reads old
+	// announcements when it resumes and must not treat them as new ones.
 	SentAtMillis int64 `json:"sent-at-ms"`
 }
 
-// announce tells the agent of the upstream until ctx ends, then that it leaves.
+// announce announces the upstream to the agent until ctx ends, then deregisters it.
 func (u *Upstream) announce(ctx context.Context, address string) {
 	ticker := time.NewTicker(u.config.Announce)
 	defer ticker.Stop()
@@ -44,7 +44,7 @@
 		if err != nil {
 			panic(err) // a struct of strings and numbers
 		}
-		u.tell(ctx, http.MethodPost, UpstreamsPath, body)
+		u.callAgent(ctx, http.MethodPost, UpstreamsPath, body)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -53,18 +53,18 @@
 	u.mu.Lock()
 	u.leaving = true
 	u.mu.Unlock()
-	late, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
+	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
 	defer cancel()
-	for range leaveTries {
-		if u.tell(late, http.MethodDelete, UpstreamsPath+"/"+url.PathEscape(u.config.ID), nil) {
+	for range leaveAttempts {
+		if u.callAgent(leaveCtx, http.MethodDelete, UpstreamsPath+"/"+url.PathEscape(u.config.ID), nil) {
 			return
 		}
-		time.Sleep(u.config.Announce / leaveTries)
+		time.Sleep(u.config.Announce / leaveAttempts)
 	}
 }
 
-// tell calls the agent and tells whether it took the call.
-func (u *Upstream) tell(ctx context.Context, method, path string, body []byte) bool {
+// callAgent calls the agent and reports whether the call succeeded.
+func (u *Upstream) callAgent(ctx context.Context, method, path string, body []byte) bool {
 	if u.config.Agent == "" {
 		return true
 	}
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -1,6 +1,6 @@
-// Package responder is a stand-in for an upstream: an HTTP server with a number
-// of slots and connections, which answers late, crossed or broken on demand. It
-// records every request that it ran: tests use that as the witness.
+// Package responder is a stand-in for an upstream: an HTTP server with a number of
+// slots and connections. On demand it answers late, with the answer of another
+// request or with a broken answer. It records every request that it ran, for tests.
 package responder
 
 import (
@@ -28,10 +28,10 @@
 // maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 8 << 20
 
-// RequestIDHeader names a request; the answer echoes it.
+// RequestIDHeader identifies a request; the answer echoes it.
 const RequestIDHeader = "X-Request-Id"
 
-// Distribution tells how service times spread around their mean.
+// Distribution is the probability distribution of service times.
 type Distribution string
 
 // Distributions of service times.
@@ -50,7 +50,7 @@
 	Distribution Distribution
 	Seed         uint64
 	Agent        string        // URL of the agent to announce to; empty: none
-	Announce     time.Duration // between announcements; default 1 s
+	Announce     time.Duration // interval between announcements; default 1 s
 	Recorder     *recorder.Recorder
 	Now          func() time.Time
 }
@@ -67,21 +67,21 @@
 	running     int
 	connections int
 	counts      Counts
-	previous    answer // of another request, for crossed answers
+	previous    answer // to the request before, for crossed answers
 	runs        []Run
 	leaving     bool
 }
 
-// Counts tells what the upstream met.
+// Counts are the totals and maxima of an upstream.
 type Counts struct {
-	Requests        int64 `json:"requests"`
-	MostRunning     int   `json:"most-running"`
-	Overloads       int64 `json:"overloads"` // requests that came while all slots ran
-	MostConnections int   `json:"most-connections"`
-	TooMany         int64 `json:"too-many-connections"`
+	Requests           int64 `json:"requests"`
+	MostRunning        int   `json:"most-running"`
+	Overloads          int64 `json:"overloads"` // requests that arrived while all slots were in use
+	MostConnections    int   `json:"most-connections"`
+	RefusedConnections int64 `json:"too-many-connections"`
 }
 
-// Run is one request that the upstream ran, written at its begin and its end.
+// Run records the start or the end of a request that the upstream ran.
 type Run struct {
 	Time           time.Time `json:"time"`
 	Upstream       string    `json:"upstream"`
@@ -93,7 +93,7 @@
 	Phase          string    `json:"phase"` // begin or end
 	Running        int       `json:"running"`
 	Overload       bool      `json:"overload,omitempty"`
-	Leaving        bool      `json:"leaving,omitempty"` // it came after leaving began
+	Leaving        bool      `json:"leaving,omitempty"` // recorded after the upstream began to leave
 }
 
 type answer struct {
@@ -119,7 +119,7 @@
 		config: c, mux: http.NewServeMux(), random: rand.New(rand.NewPCG(c.Seed, c.Seed)),
 		http: &http.Client{Timeout: 2 * time.Second},
 	}
-	u.mux.HandleFunc("POST /control/modes", u.setModes)
+	u.mux.HandleFunc("POST /control/modes", u.handleSetModes)
 	u.mux.HandleFunc("GET /control/counts", func(w http.ResponseWriter, _ *http.Request) {
 		server.WriteJSON(w, http.StatusOK, u.Counts())
 	})
@@ -130,22 +130,22 @@
 // Handler returns the upstream's HTTP interface.
 func (u *Upstream) Handler() http.Handler { return u.mux }
 
-// Counts returns what the upstream met so far.
+// Counts returns the counts so far.
 func (u *Upstream) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.counts
 }
 
-// Runs returns what was recorded, oldest first.
+// Runs returns the recorded starts and ends of requests, oldest first.
 func (u *Upstream) Runs() []Run {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]Run(nil), u.runs...)
 }
 
-// Run announces the upstream and serves on l until ctx ends. It then tells the
-// agent that it leaves, finishes what runs and returns.
+// Run announces the upstream and serves on l until ctx ends. It then deregisters at
+// the agent, finishes the running requests and returns.
 func (u *Upstream) Run(ctx context.Context, l net.Listener) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -153,7 +153,7 @@
 	go func() {
 		defer close(announced)
 		u.announce(ctx, l.Addr().String())
-		stop() // only after the agent knows: it sends nothing new any more
+		stop() // only now, since the agent sends no new requests once it was notified
 	}()
 	err := server.Serve(serving, &countingListener{Listener: l, u: u}, u.mux)
 	<-announced
@@ -164,10 +164,10 @@
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		return // the request did not come whole and does not run
+		return // an incomplete request is not run
 	}
-	m, took := u.begin(r)
-	time.Sleep(took) // also if the caller has gone: the work goes on
+	m, serviceTime := u.begin(r)
+	time.Sleep(serviceTime) // continues even if the caller has disconnected
 	a := answer{id: r.Header.Get(RequestIDHeader), body: u.answerBody(r, body)}
 	other := u.end(r, a)
 	if m.CutAfterEffect {
@@ -179,8 +179,8 @@
 	u.write(w, m, a)
 }
 
-// answerBody echoes a body, or makes one that names the request, so that the
-// caller can tell its own answer.
+// answerBody echoes the body of the request. Without one it returns a text that
+// identifies the request, so that the caller can check that the answer is its own.
 func (u *Upstream) answerBody(r *http.Request, body []byte) []byte {
 	if len(body) > 0 {
 		return body
@@ -209,13 +209,13 @@
 	if m.Truncated {
 		_, _ = w.Write(a.body[:len(a.body)/2])
 		_ = http.NewResponseController(w).Flush()
-		panic(http.ErrAbortHandler) // the length promised more
+		panic(http.ErrAbortHandler) // the body is shorter than Content-Length
 	}
 	_, _ = w.Write(a.body)
 }
 
-// begin records the start of a request and returns the modes in force for it and
-// how long it runs.
+// begin records the start of a request and returns the modes that apply to it and its
+// service time.
 func (u *Upstream) begin(r *http.Request) (Modes, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -231,17 +231,17 @@
 	if m.Share > 0 && u.random.Float64() >= m.Share {
 		m = Modes{Slow: m.Slow}
 	}
-	took := float64(u.config.ServiceTime)
+	serviceTime := float64(u.config.ServiceTime)
 	if u.config.Distribution == Exponential {
-		took *= u.random.ExpFloat64()
+		serviceTime *= u.random.ExpFloat64()
 	}
 	if m.Slow > 0 {
-		took *= m.Slow
+		serviceTime *= m.Slow
 	}
-	return m, time.Duration(took) + time.Duration(m.LateMillis)*time.Millisecond
+	return m, time.Duration(serviceTime) + time.Duration(m.LateMillis)*time.Millisecond
 }
 
-// end records the end of a request and returns the answer of the one before.
+// end records the end of a request and returns the answer to the one that ended before.
 func (u *Upstream) end(r *http.Request, a answer) answer {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/responder/responder_test.go
+++ b/internal/standin/responder/responder_test.go
@@ -16,7 +16,7 @@
 	"bamboospread/internal/standin/responder"
 )
 
-func ask(t *testing.T, base, id, body string) (int, string, string, error) {
+func post(t *testing.T, base, id, body string) (int, string, string, error) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, base+"/print", strings.NewReader(body))
 	if err != nil {
@@ -34,30 +34,30 @@
 
 func TestModes(t *testing.T) {
 	cases := []struct {
-		name   string
-		modes  responder.Modes
-		status int
-		id     string
-		body   string
-		broken bool
+		name    string
+		modes   responder.Modes
+		status  int
+		id      string
+		body    string
+		wantErr bool
 	}{
-		{"whole", responder.Modes{}, 200, "2", "second", false},
+		{"no mode", responder.Modes{}, 200, "2", "second", false},
 		{"crossed", responder.Modes{Crossed: true}, 200, "1", "first", false},
 		{"truncated", responder.Modes{Truncated: true}, 200, "2", "sec", true},
 		{"status", responder.Modes{Status: 500}, 500, "2", "second", false},
-		{"cut", responder.Modes{CutAfterEffect: true}, 0, "", "", true},
+		{"closed without an answer", responder.Modes{CutAfterEffect: true}, 0, "", "", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			u := responder.New(responder.Config{ID: "u", Service: "labels"})
 			h := httptest.NewServer(u.Handler())
 			defer h.Close()
-			if _, _, body, err := ask(t, h.URL, "1", "first"); body != "first" || err != nil {
+			if _, _, body, err := post(t, h.URL, "1", "first"); body != "first" || err != nil {
 				t.Fatal(body, err)
 			}
 			u.SetModes(c.modes)
-			status, id, body, err := ask(t, h.URL, "2", "second")
-			if status != c.status || id != c.id || body != c.body || (err != nil) != c.broken {
+			status, id, body, err := post(t, h.URL, "2", "second")
+			if status != c.status || id != c.id || body != c.body || (err != nil) != c.wantErr {
 				t.Error(status, id, body, err)
 			}
 			if runs := u.Runs(); len(runs) != 4 || runs[3].RequestID != "2" || runs[3].Phase != "end" {
@@ -71,22 +71,22 @@
 	u := responder.New(responder.Config{ID: "u", Slots: 2, ServiceTime: 100 * time.Millisecond})
 	h := httptest.NewServer(u.Handler())
 	defer h.Close()
-	var wait sync.WaitGroup
+	var callers sync.WaitGroup
 	for range 3 {
-		wait.Go(func() { ask(t, h.URL, "", "x") })
+		callers.Go(func() { post(t, h.URL, "", "x") })
 	}
-	wait.Wait()
+	callers.Wait()
 	want := responder.Counts{Requests: 3, MostRunning: 3, Overloads: 1}
 	if diff := cmp.Diff(want, u.Counts()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// The upstream is stopped while a request runs. The caller gets its whole answer,
-// and so does one that the agent sends before it has learned of the leaving: the
-// upstream tells its agent first, and only then stops listening.
-func TestStopFinishesWhatRuns(t *testing.T) {
-	told := make(chan string, 10)
+// The upstream is stopped while a request runs. Its caller gets a complete answer, and
+// so does a request that the agent sends before it is notified that the upstream leaves:
+// the upstream stops listening only after it has notified its agent.
+func TestStopFinishesRunningRequests(t *testing.T) {
+	agentCalls := make(chan string, 10)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -94,31 +94,31 @@
 	agent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			time.Sleep(300 * time.Millisecond) // longer than the request that runs
-			if _, _, body, err := ask(t, "http://"+l.Addr().String(), "2", "late"); body != "late" || err != nil {
-				t.Errorf("request before the agent knew: %q, %v", body, err)
+			if _, _, body, err := post(t, "http://"+l.Addr().String(), "2", "late"); body != "late" || err != nil {
+				t.Errorf("request before the agent was notified: %q, %v", body, err)
 			}
 		}
-		told <- r.Method + " " + r.URL.Path
+		agentCalls <- r.Method + " " + r.URL.Path
 	}))
 	defer agent.Close()
 	u := responder.New(responder.Config{ID: "u", Agent: agent.URL, ServiceTime: 200 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- u.Run(ctx, l) }()
-	if got := <-told; got != "POST /v1/upstreams" {
+	if got := <-agentCalls; got != "POST /v1/upstreams" {
 		t.Fatal(got)
 	}
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		cancel()
 	}()
-	if _, _, body, err := ask(t, "http://"+l.Addr().String(), "1", "whole"); body != "whole" || err != nil {
+	if _, _, body, err := post(t, "http://"+l.Addr().String(), "1", "whole"); body != "whole" || err != nil {
 		t.Error(body, err)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if got := <-told; got != "DELETE /v1/upstreams/u" {
+	if got := <-agentCalls; got != "DELETE /v1/upstreams/u" {
 		t.Error(got)
 	}
 }
