--- a/internal/standin/storer/calls.go
+++ b/internal/standin/storer/calls.go
@@ -9,10 +9,10 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// Bodies of calls may be this large: a value in base64 and its frame.
+// maxBodyBytes is the size limit of the body of a call: a value in base64 and its JSON.
 const maxBodyBytes = 2 * keeper.MaxValueBytes
 
-// expiryStep is how often a waiting watch looks for leases that ran out.
+// expiryStep is the interval at which a waiting watch checks for expired leases.
 const expiryStep = 25 * time.Millisecond
 
 func (s *Store) routes() {
@@ -25,8 +25,8 @@
 	handle(s, keeper.KindGrant, true, s.grant)
 	handle(s, keeper.KindKeepAlive, true, s.keepAlive)
 	handle(s, keeper.KindRevoke, true, s.revoke)
-	s.mux.HandleFunc("POST /control/faults", s.setFaults)
-	s.mux.HandleFunc("GET /control/calls", s.showCalls)
+	s.mux.HandleFunc("POST /control/faults", s.handleSetFaults)
+	s.mux.HandleFunc("GET /control/calls", s.handleGetCalls)
 }
 
 // result is the answer to a call.
@@ -37,7 +37,7 @@
 
 func ok(body any) result { return result{http.StatusOK, body} }
 
-// handle registers the call of the given kind, wrapped in counting and faults.
+// handle registers the call of the given kind, with counting and faults.
 func handle[C any](s *Store, kind string, write bool, do func(ctx context.Context, c C) result) {
 	s.mux.HandleFunc("POST "+keeper.PathPrefix+kind, func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
@@ -52,7 +52,7 @@
 		}
 		time.Sleep(f.Delay())
 		a := do(r.Context(), c)
-		if s.losesAnswer(f) {
+		if s.drawAnswerLoss(f) {
 			panic(http.ErrAbortHandler) // closes the connection without an answer
 		}
 		server.WriteJSON(w, a.status, a.body)
@@ -104,7 +104,7 @@
 	s.expireLocked()
 	for _, e := range t.Expect {
 		if old := s.recordLocked(e.Key); old.Revision != e.Revision {
-			old.Key = e.Key // also of a record that does not exist
+			old.Key = e.Key // a record that does not exist has no key
 			return result{http.StatusConflict, keeper.RecordAnswer{Record: old}}
 		}
 	}
@@ -148,7 +148,7 @@
 	s.expireLocked()
 	s.lastID++
 	ttl := time.Duration(c.TTLMillis) * time.Millisecond
-	s.leases[s.lastID] = &lease{ttl: ttl, ends: s.config.Now().Add(ttl), keys: make(map[string]bool)}
+	s.leases[s.lastID] = &lease{ttl: ttl, expiresAt: s.config.Now().Add(ttl), keys: make(map[string]bool)}
 	return ok(keeper.LeaseCall{Lease: s.lastID, TTLMillis: c.TTLMillis})
 }
 
@@ -160,7 +160,7 @@
 	if l == nil {
 		return result{http.StatusGone, c.Lease}
 	}
-	l.ends = s.config.Now().Add(l.ttl)
+	l.expiresAt = s.config.Now().Add(l.ttl)
 	return ok(struct{}{})
 }
 
@@ -178,23 +178,23 @@
 func (s *Store) watch(ctx context.Context, c keeper.WatchCall) result {
 	deadline := time.NewTimer(time.Duration(c.WaitMillis) * time.Millisecond)
 	defer deadline.Stop()
-	for over := c.WaitMillis <= 0; ; {
+	for waited := c.WaitMillis <= 0; ; {
 		s.mu.Lock()
 		s.expireLocked()
-		found, kept := s.changesLocked(c.Prefix, c.After)
+		matching, available := s.changesLocked(c.Prefix, c.After)
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
-		if !kept {
+		if !available {
 			return result{http.StatusGone, c.After}
 		}
-		if len(found) > 0 || over || ctx.Err() != nil {
-			return ok(keeper.WatchAnswer{Changes: found, Revision: revision})
+		if len(matching) > 0 || waited || ctx.Err() != nil {
+			return ok(keeper.WatchAnswer{Changes: matching, Revision: revision})
 		}
-		c.After = max(c.After, revision) // nothing up to here
+		c.After = max(c.After, revision) // no matching changes up to this revision
 		select {
 		case <-ctx.Done():
 		case <-deadline.C:
-			over = true
+			waited = true
 		case <-changed:
 		case <-time.After(expiryStep):
 		}
--- a/internal/standin/storer/faults.go
+++ b/internal/standin/storer/faults.go
@@ -12,22 +12,22 @@
 // Faults are the faults in force.
 type Faults struct {
 	Down        bool    `json:"down"`         // refuse every call with 503
-	PauseLeases bool    `json:"pause-leases"` // with Down: leases stand still meanwhile instead of running out
-	DropHistory bool    `json:"drop-history"` // once, at the call: watches from before now get 410
-	DelayMillis int64   `json:"delay-ms"`     // before the effect, which comes also if the caller has gone
+	PauseLeases bool    `json:"pause-leases"` // with Down: leases do not expire meanwhile and keep their remaining time
+	DropHistory bool    `json:"drop-history"` // once, at the call: watches from an earlier revision get 410
+	DelayMillis int64   `json:"delay-ms"`     // before the effect, which occurs even if the caller has disconnected
 	LoseAnswers float64 `json:"lose-answers"` // probability of closing the connection after the effect
 }
 
 // Delay returns the delay of each call.
 func (f Faults) Delay() time.Duration { return time.Duration(f.DelayMillis) * time.Millisecond }
 
-// Calls counts what callers asked for.
+// Calls are the counts of calls.
 type Calls struct {
-	Calls   map[string]int64 `json:"calls"` // by kind, also refused ones
+	Calls   map[string]int64 `json:"calls"` // by kind, including refused ones
 	Refused int64            `json:"refused"`
 }
 
-// SetFaults replaces the faults in force. Watches that wait stay, unless the history
+// SetFaults replaces the faults in force. Waiting watches continue, unless the history
 // is dropped.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
@@ -39,10 +39,10 @@
 		s.changed = make(chan struct{})
 	}
 	s.faults = f
-	s.expireLocked() // from here on leases stand still, if they do
+	s.expireLocked() // up to now, so that a pause of leases begins here
 }
 
-// Calls returns the calls counted so far.
+// Calls returns the counts so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	return s.recordLocked(key)
 }
 
-// admit counts a call and returns the faults that it meets and the status 200,
+// admit counts a call and returns the faults that apply to it and the status 200,
 // 429 or 503.
 func (s *Store) admit(kind string, write bool) (Faults, int) {
 	s.mu.Lock()
@@ -71,7 +71,7 @@
 	switch {
 	case s.faults.Down:
 		status = http.StatusServiceUnavailable
-	case !w.take(limit, s.config.Now().Unix()):
+	case !w.allow(limit, s.config.Now().Unix()):
 		status = http.StatusTooManyRequests
 	}
 	if status != http.StatusOK {
@@ -80,8 +80,8 @@
 	return s.faults, status
 }
 
-// take counts one call in the given second and tells whether it is within limit.
-func (w *window) take(limit int, second int64) bool {
+// allow counts one call in the given second and reports whether it is within limit.
+func (w *window) allow(limit int, second int64) bool {
 	if w.second != second {
 		*w = window{second: second}
 	}
@@ -89,7 +89,7 @@
 	return limit <= 0 || w.count <= limit
 }
 
-func (s *Store) losesAnswer(f Faults) bool {
+func (s *Store) drawAnswerLoss(f Faults) bool {
 	if f.LoseAnswers <= 0 {
 		return false
 	}
@@ -98,7 +98,7 @@
 	return s.random.Float64() < f.LoseAnswers
 }
 
-func (s *Store) setFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if server.ReadJSON(w, r, &f) {
 		s.SetFaults(f)
@@ -106,6 +106,6 @@
 	}
 }
 
-func (s *Store) showCalls(w http.ResponseWriter, _ *http.Request) {
+func (s *Store) handleGetCalls(w http.ResponseWriter, _ *http.Request) {
 	server.WriteJSON(w, http.StatusOK, s.Calls())
 }
--- a/internal/standin/storer/storer.go
+++ b/internal/standin/storer/storer.go
@@ -1,6 +1,6 @@
-// Package storer is a stand-in for the platform's key-value service, held in
-// memory: compare-and-swap, leases, waiting watches, a limit on the size of
-// values and on the rate of calls, with faults on demand.
+// Package storer is an in-memory stand-in for the platform's key-value service, with
+// compare-and-swap, leases, waiting watches, limits on the size of values and on the
+// rate of calls, and faults on demand.
 package storer
 
 import (
@@ -25,8 +25,8 @@
 
 // Config holds the settings of a Store.
 type Config struct {
-	WritesPerSecond int // 0: no limit; above it calls are refused with 429
-	ReadsPerSecond  int // 0: no limit
+	WritesPerSecond int // calls above this rate are refused with 429; 0: no limit
+	ReadsPerSecond  int // as for writes
 	Seed            uint64
 	Now             func() time.Time
 }
@@ -36,26 +36,26 @@
 	config Config
 	mux    *http.ServeMux
 
-	mu       sync.Mutex
-	revision int64
-	changes  map[string]keeper.Change // latest change of each key, also deletions
-	log      []string                 // key of each change, the last one at the current revision
-	leases   map[int64]*lease
-	lookedAt time.Time // when leases were last looked at
-	lastID   int64
-	changed  chan struct{} // closed and replaced at each change
-	faults   Faults
-	random   *rand.Rand
-	calls    map[string]int64
-	refused  int64
-	writes   window
-	reads    window
+	mu              sync.Mutex
+	revision        int64
+	changes         map[string]keeper.Change // latest change of each key, including deletions
+	log             []string                 // keys of consecutive changes, the last one at the current revision
+	leases          map[int64]*lease
+	expiryCheckedAt time.Time // when leases were last checked for expiry
+	lastID          int64
+	changed         chan struct{} // closed and replaced at each change
+	faults          Faults
+	random          *rand.Rand
+	calls           map[string]int64
+	refused         int64
+	writes          window
+	reads           window
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
-	keys map[string]bool
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]bool
 }
 
 // window counts the calls of the current second.
@@ -86,18 +86,17 @@
 	return server.Serve(ctx, l, s.mux)
 }
 
-// expireLocked ends the leases whose time is over. It goes by the clock alone, so
-// leases also run out while the service is down to its callers, unless a fault lets
-// them stand still.
+// expireLocked ends the expired leases. It depends only on the clock, so leases also
+// expire while the service refuses every call, unless the fault pause-leases prevents it.
 func (s *Store) expireLocked() {
 	now := s.config.Now()
-	stood := now.Sub(s.lookedAt)
-	s.lookedAt = now
+	elapsed := now.Sub(s.expiryCheckedAt)
+	s.expiryCheckedAt = now
 	for id, l := range s.leases {
 		if s.faults.Down && s.faults.PauseLeases {
-			l.ends = l.ends.Add(stood)
+			l.expiresAt = l.expiresAt.Add(elapsed)
 		}
-		if now.After(l.ends) {
+		if now.After(l.expiresAt) {
 			s.endLeaseLocked(id)
 		}
 	}
@@ -175,11 +174,11 @@
 	return a
 }
 
-// changesLocked looks only at what changed after the given revision, so that
-// watches stay cheap however many records there are. It returns false if that
-// history was dropped.
+// changesLocked returns the changes after the given revision. It reads only these, so
+// the cost of a watch does not depend on the number of records. It returns false if
+// that history was dropped.
 func (s *Store) changesLocked(prefix string, after int64) ([]keeper.Change, bool) {
-	var found []keeper.Change
+	var matching []keeper.Change
 	first := s.revision - int64(len(s.log)) // revision before the first one in the log
 	if after < first {
 		return nil, false
@@ -187,8 +186,8 @@
 	for i := max(after-first, 0); i < int64(len(s.log)); i++ {
 		c := s.changes[s.log[i]]
 		if c.Record.Revision == first+i+1 && strings.HasPrefix(c.Record.Key, prefix) {
-			found = append(found, c)
+			matching = append(matching, c)
 		}
 	}
-	return found, true
+	return matching, true
 }
--- a/internal/standin/storer/storer_test.go
+++ b/internal/standin/storer/storer_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if _, err := k.CompareAndSwap(ctx, keeper.SwapOptions{Key: "a/3", Value: append(big, 7)}); err == nil {
-		t.Fatal("a value above the limit was taken")
+		t.Fatal("a value above the limit was accepted")
 	}
 	list, err := k.FindRecords(ctx, keeper.ListOptions{Prefix: "a/", Limit: 1})
 	if err != nil || len(list.Records) != 1 || !list.More || string(list.Records[0].Value) != "y" {
@@ -65,9 +65,9 @@
 	}
 }
 
-// A lease runs out while the service refuses every call. Its records are gone
-// when the service answers again, and a watch tells of it.
-func TestLeaseRunsOutWhileDown(t *testing.T) {
+// A lease expires while the service refuses every call. Its records are deleted when
+// the service answers again, and a watch reports it.
+func TestLeaseExpiresWhileDown(t *testing.T) {
 	ctx := context.Background()
 	s, k := start(t, storer.Config{})
 	l, err := k.GrantLease(ctx, 60*time.Millisecond)
@@ -93,9 +93,9 @@
 	}
 }
 
-// The service refuses every call for longer than a lease, and leases stand still
-// meanwhile. The owner finds its lease as it left it.
-func TestLeaseStandsStillWhileDown(t *testing.T) {
+// The service refuses every call for longer than a lease, and leases are paused
+// meanwhile. The lease still exists afterwards and expires only then.
+func TestPausedLeaseSurvivesOutage(t *testing.T) {
 	ctx := context.Background()
 	s, k := start(t, storer.Config{})
 	l, err := k.GrantLease(ctx, 200*time.Millisecond)
@@ -106,7 +106,7 @@
 	time.Sleep(300 * time.Millisecond)
 	s.SetFaults(storer.Faults{})
 	if err := k.KeepAlive(ctx, l.ID); err != nil {
-		t.Fatalf("a lease ran out while leases stood still: %v", err)
+		t.Fatalf("a lease expired while leases were paused: %v", err)
 	}
 	time.Sleep(300 * time.Millisecond)
 	if err := k.KeepAlive(ctx, l.ID); !keeper.IsErrLeaseNotExist(err) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// The service drops its history. A watch from before is told so; one from the
-// newest revision goes on and sees what comes.
+// The service drops its history. A watch from an earlier revision fails; one from the
+// newest revision continues and returns later changes.
 func TestDroppedHistory(t *testing.T) {
 	ctx := context.Background()
 	s, k := start(t, storer.Config{})
@@ -129,16 +129,16 @@
 	}
 	s.SetFaults(storer.Faults{DropHistory: true})
 	if _, err := k.Watch(ctx, keeper.WatchOptions{Prefix: "a", After: first}); !keeper.IsErrHistoryNotExist(err) {
-		t.Errorf("from before: %v", err)
+		t.Errorf("from an earlier revision: %v", err)
 	}
 	if w, err := k.Watch(ctx, keeper.WatchOptions{Prefix: "a", After: second}); err != nil || len(w.Changes) != 0 {
-		t.Errorf("from the newest: %v, %v", w, err)
+		t.Errorf("from the newest revision: %v, %v", w, err)
 	}
 	if _, err := k.CompareAndSwap(ctx, keeper.SwapOptions{Key: "b", Value: []byte("z")}); err != nil {
 		t.Fatal(err)
 	}
 	if w, err := k.Watch(ctx, keeper.WatchOptions{Prefix: "b", After: second}); err != nil || len(w.Changes) != 1 {
-		t.Errorf("what came after: %v, %v", w, err)
+		t.Errorf("later changes: %v, %v", w, err)
 	}
 }
 
@@ -158,9 +158,9 @@
 		written bool
 	}{
 		{"down", storer.Config{}, storer.Faults{Down: true}, false, keeper.IsErrUnavailable, false},
-		{"nobody listens", storer.Config{}, storer.Faults{}, true, keeper.IsErrUnavailable, false},
+		{"no listener", storer.Config{}, storer.Faults{}, true, keeper.IsErrUnavailable, false},
 		{"answer lost", storer.Config{}, storer.Faults{LoseAnswers: 1}, false, keeper.IsErrOutcomeUnknown, true},
-		{"late", storer.Config{}, storer.Faults{DelayMillis: 1000}, false, keeper.IsErrOutcomeUnknown, true},
+		{"delayed", storer.Config{}, storer.Faults{DelayMillis: 1000}, false, keeper.IsErrOutcomeUnknown, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 				defer cancel()
 				callContext = limited
 			}
-			// The first call leaves an idle connection, which the second uses.
+			// The first call leaves an idle connection that the second one uses.
 			_, _ = k.GetRecord(ctx, "a")
 			s.SetFaults(c.faults)
 			if _, err := k.CompareAndSwap(callContext, keeper.SwapOptions{Key: "a", Value: []byte("x")}); !c.is(err) {
@@ -191,10 +191,10 @@
 	}
 }
 
-// Answers are lost after the effect and other writers race. The caller of
-// SwapSettled is told a revision only if its own value was written there, and
-// told of a conflict only if another record stands.
-func TestSwapSettledTellsTruth(t *testing.T) {
+// Answers are lost after the effect, and another writer may have written first. The
+// caller gets a revision only if its own value was written at that revision, and a
+// conflict only if another record exists.
+func TestSwapReportsTrueOutcome(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
@@ -213,19 +213,18 @@
 		now := s.Record("a")
 		switch {
 		case err == nil && (string(now.Value) != "mine" || now.Revision != revision):
-			rt.Fatalf("told revision %d, the record is %+v", revision, now)
+			rt.Fatalf("got revision %d, but the record is %+v", revision, now)
 		case keeper.IsErrConflict(err) && before.Revision == 0:
-			rt.Fatalf("told of a conflict with nobody: %v", err)
+			rt.Fatalf("got a conflict without another writer: %v", err)
 		case err != nil && !keeper.IsErrConflict(err):
 			rt.Fatal(err)
 		}
 	})
 }
 
-// The answer is lost after the effect and the service is then down until the
-// caller's time is over. The caller is told that it is not known, never that
-// nothing happened.
-func TestSwapSettledStaysUnknown(t *testing.T) {
+// The answer is lost after the effect, and the service is then down until the caller's
+// deadline. The caller must get an unknown outcome, and not that nothing was written.
+func TestSwapReportsUnknownOutcome(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
 	s, k := start(t, storer.Config{})
