--- a/internal/standin/worker/calls.go
+++ b/internal/standin/worker/calls.go
@@ -12,10 +12,10 @@
 
 // Faults are the faults in force.
 type Faults struct {
-	FailAll      bool  `json:"fail-all"`      // every task fails shortly after its start
+	FailAll      bool  `json:"fail-all"`      // fail every task shortly after its start
 	Refuse       bool  `json:"refuse"`        // refuse every start with 503
 	DelayMillis  int64 `json:"delay-ms"`      // before the effect of each call
-	Freeze       bool  `json:"freeze"`        // hold every answer, after the effect, until this is unset
+	Freeze       bool  `json:"freeze"`        // delay every answer, after the effect, until this is unset
 	SpeedPercent int64 `json:"speed-percent"` // of all tasks; 0: 100
 }
 
@@ -29,7 +29,7 @@
 func (w *Worker) routes() {
 	handle(w, "GET "+driver.PathVM, func(struct{}) (int, any) { return http.StatusOK, w.config.Capacity })
 	handle(w, "GET "+driver.PathTasks, w.list)
-	handle(w, "GET "+driver.PathUsage, w.measure)
+	handle(w, "GET "+driver.PathUsage, w.reportUsage)
 	handle(w, "POST "+driver.PathStart, w.start)
 	handle(w, "POST "+driver.PathStop, w.stop)
 	handle(w, "POST "+driver.PathCheckpoint, w.checkpoint)
@@ -54,14 +54,15 @@
 	defer w.mu.Unlock()
 	switch {
 	case f.Freeze && !w.faults.Freeze:
-		w.thawed = make(chan struct{})
+		w.unfrozen = make(chan struct{})
 	case !f.Freeze && w.faults.Freeze:
-		close(w.thawed)
+		close(w.unfrozen)
 	}
 	w.faults = f
 }
 
-// handle registers a call; do runs with the lock held and tasks up to date.
+// handle registers a call. do runs with the lock held, after tasks were advanced to the
+// present.
 func handle[C any](w *Worker, pattern string, do func(C) (int, any)) {
 	w.mux.HandleFunc(pattern, func(rw http.ResponseWriter, r *http.Request) {
 		var c C
@@ -75,10 +76,10 @@
 		w.mu.Lock()
 		w.advanceLocked()
 		status, answer := do(c)
-		thawed := w.thawed
+		unfrozen := w.unfrozen
 		w.mu.Unlock()
 		select {
-		case <-thawed:
+		case <-unfrozen:
 			server.WriteJSON(rw, status, answer)
 		case <-r.Context().Done():
 		}
@@ -91,15 +92,15 @@
 	switch {
 	case running && t.info.Attempt == c.Attempt:
 		return http.StatusOK, struct{}{}
-	case c.Attempt <= w.seen[c.TaskID]:
-		return http.StatusConflict, "attempt is over"
+	case c.Attempt <= w.highestAttempt[c.TaskID]:
+		return http.StatusConflict, "attempt has ended or a later one was started"
 	case c.StartBy != 0 && w.config.Now().UnixNano() > c.StartBy:
-		return http.StatusPreconditionFailed, "too late"
+		return http.StatusPreconditionFailed, "start deadline has passed"
 	case w.faults.Refuse:
-		return http.StatusServiceUnavailable, "refused on demand"
+		return http.StatusServiceUnavailable, "refused by fault injection"
 	case running:
-		// Two attempts at once on one VM: the scheduler's fault. The witness
-		// shows the second start before the first one's end.
+		// Two concurrent attempts on one VM are an error of the scheduler. The
+		// record shows the second start before the end of the first attempt.
 		defer w.endLocked(t, messenger.ReportLost, "replaced by a later attempt")
 	}
 	if err := w.startLocked(c); err != nil {
@@ -108,10 +109,11 @@
 	return http.StatusOK, struct{}{}
 }
 
-// end finds the attempt, or leaves a tombstone for one that never came.
-func (w *Worker) end(c driver.TaskCall, do func(*task)) (int, any) {
+// endAttempt ends the attempt if it runs. Otherwise it leaves a tombstone, so that a start
+// that arrives later is refused.
+func (w *Worker) endAttempt(c driver.TaskCall, do func(*task)) (int, any) {
 	t := w.tasks[c.TaskID]
-	w.seen[c.TaskID] = max(w.seen[c.TaskID], c.Attempt)
+	w.highestAttempt[c.TaskID] = max(w.highestAttempt[c.TaskID], c.Attempt)
 	if t == nil || t.info.Attempt != c.Attempt {
 		return http.StatusOK, driver.EndAnswer{}
 	}
@@ -122,11 +124,11 @@
 }
 
 func (w *Worker) stop(c driver.TaskCall) (int, any) {
-	return w.end(c, func(t *task) { w.endLocked(t, messenger.ReportStopped, "stopped") })
+	return w.endAttempt(c, func(t *task) { w.endLocked(t, messenger.ReportStopped, "stopped") })
 }
 
 func (w *Worker) checkpoint(c driver.TaskCall) (int, any) {
-	return w.end(c, w.checkpointLocked)
+	return w.endAttempt(c, w.checkpointLocked)
 }
 
 func (w *Worker) throttle(c driver.TaskCall) (int, any) {
@@ -149,19 +151,19 @@
 	return http.StatusOK, struct{}{}
 }
 
-// renew sets the leases of all running tasks. Calls may overtake each other; a
-// late one with a longer lease would outlast what the caller granted last, so
-// only the latest issued counts.
+// renew sets the leases of all tasks. Calls may arrive out of order: an old call with
+// a longer lease would extend the leases beyond what the caller granted last, so only
+// the call that was issued last is applied.
 func (w *Worker) renew(c driver.LeaseCall) (int, any) {
-	if c.Issued < w.issued {
-		return http.StatusOK, driver.LeaseAnswer{Issued: w.issued}
+	if c.Issued < w.latestIssued {
+		return http.StatusOK, driver.LeaseAnswer{Issued: w.latestIssued}
 	}
-	w.issued = c.Issued
+	w.latestIssued = c.Issued
 	end := w.leaseEnd(c.Until)
 	for _, t := range w.tasks {
 		t.leaseEnd = end
 	}
-	return http.StatusOK, driver.LeaseAnswer{Issued: w.issued}
+	return http.StatusOK, driver.LeaseAnswer{Issued: w.latestIssued}
 }
 
 func (w *Worker) list(struct{}) (int, any) {
@@ -173,7 +175,7 @@
 	return http.StatusOK, a
 }
 
-func (w *Worker) measure(struct{}) (int, any) {
+func (w *Worker) reportUsage(struct{}) (int, any) {
 	latest := messenger.Usage{}
 	for _, u := range w.usage {
 		if u.ToMillis <= w.config.Now().Add(-w.config.UsageLag).UnixMilli() {
--- a/internal/standin/worker/events.go
+++ b/internal/standin/worker/events.go
@@ -8,7 +8,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// EventKind is what happened to an attempt.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // Kinds of events.
@@ -21,7 +21,7 @@
 	EventLost         EventKind = EventKind(messenger.ReportLost)
 )
 
-// Event is one start or end of an attempt, as the worker saw it.
+// Event is a start or an end of an attempt.
 type Event struct {
 	Time           time.Time           `json:"time"`
 	VM             string              `json:"vm"`
@@ -29,7 +29,7 @@
 	Task           string              `json:"task"`
 	Attempt        int64               `json:"attempt"`
 	Event          EventKind           `json:"event"`
-	ProgressMillis int64               `json:"progress-ms"` // with start: resumed from here
+	ProgressMillis int64               `json:"progress-ms"` // at the event; at a start: resumed from
 	Service        string              `json:"service,omitempty"`
 	Committed      describer.Resources `json:"committed"` // of the VM after the event
 	OverCommitted  bool                `json:"over-committed,omitempty"`
@@ -44,12 +44,12 @@
 	e.OverCommitted = !e.Committed.Fits(w.config.Capacity.Total)
 	w.events = append(w.events, e)
 	w.config.Recorder.Append(e)
-	if w.config.Witness != nil {
-		w.config.Witness(e)
+	if w.config.OnEvent != nil {
+		w.config.OnEvent(e)
 	}
 }
 
-// Events returns what was recorded, oldest first.
+// Events returns the events so far, oldest first.
 func (w *Worker) Events() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for the worker of a VM. It runs pretended tasks
-// under leases, reports usage with a lag, and takes checkpoints. It refuses
-// nothing for lack of room and knows nothing of other VMs: tests use its record
-// of starts and ends as the witness for what the scheduler promises.
+// Package worker is a stand-in for the worker of a VM. It runs simulated tasks under
+// leases, reports usage with a lag, and takes checkpoints. It does not refuse starts
+// for lack of capacity and has no data about other VMs: tests use its record of starts
+// and ends to check the guarantees of the scheduler.
 package worker
 
 import (
@@ -23,14 +23,14 @@
 )
 
 const (
-	// step is how often tasks move on.
-	step = 10 * time.Millisecond
-	// maxStep bounds the work done between two steps: a process that was
-	// paused has done none meanwhile.
-	maxStep = 250 * time.Millisecond
-	// failAfter is how long a task runs on a worker that fails everything.
-	failAfter = 30 * time.Millisecond
-	// checkpointPrefix begins a checkpoint; the progress in ms follows.
+	// advanceInterval is the time between two updates of the progress of tasks.
+	advanceInterval = 10 * time.Millisecond
+	// maxAdvance limits the progress made between two updates: a process that was
+	// paused made none in the meantime.
+	maxAdvance = 250 * time.Millisecond
+	// failDelay is the run time of a task with the fault fail-all.
+	failDelay = 30 * time.Millisecond
+	// checkpointPrefix is the start of a checkpoint; the progress in ms follows.
 	checkpointPrefix = "progress-ms="
 )
 
@@ -40,14 +40,14 @@
 	UsageLag    time.Duration // default 2 s
 	UsageWindow time.Duration // default 1 s
 	Now         func() time.Time
-	Witness     func(Event)        // told of each start and end; may be nil
-	Recorder    *recorder.Recorder // likewise; may be nil
+	OnEvent     func(Event)        // called for each event; may be nil
+	Recorder    *recorder.Recorder // records each event; may be nil
 }
 
-// payload tells a task how to behave.
+// payload controls the behaviour of a task.
 type payload struct {
-	RunMillis     int64 `json:"run-ms"` // real run time; 0: as declared
-	Fail          bool  `json:"fail"`   // end with an error after the run time
+	RunMillis     int64 `json:"run-ms"` // actual run time; 0: as declared
+	Fail          bool  `json:"fail"`   // fail after the run time
 	UseMillicores int64 `json:"use-millicores"`
 	UseBytes      int64 `json:"use-memory-bytes"`
 }
@@ -56,7 +56,7 @@
 type task struct {
 	info     driver.Task
 	payload  payload
-	runTime  time.Duration // 0: no end of its own
+	runTime  time.Duration // 0: runs until it is stopped
 	progress time.Duration
 	leaseEnd time.Time
 	window   time.Duration // progress within the current usage window
@@ -67,16 +67,16 @@
 	config Config
 	mux    *http.ServeMux
 
-	mu       sync.Mutex
-	tasks    map[string]*task
-	seen     map[string]int64 // highest attempt started or stopped, by task
-	issued   int64            // of the latest renewal of leases
-	last     time.Time        // when tasks last moved on
-	faults   Faults
-	thawed   chan struct{} // closed when answers are no longer held
-	events   []Event
-	usage    []messenger.Usage // closed windows, oldest first
-	windowAt time.Time
+	mu             sync.Mutex
+	tasks          map[string]*task
+	highestAttempt map[string]int64 // highest attempt started or stopped, by task
+	latestIssued   int64            // when the latest renewal of leases was issued
+	advancedAt     time.Time        // when the progress of tasks was last updated
+	faults         Faults
+	unfrozen       chan struct{} // closed when answers are no longer held
+	events         []Event
+	usage          []messenger.Usage // closed windows, oldest first
+	windowStart    time.Time
 }
 
 // New returns a Worker without tasks.
@@ -91,10 +91,10 @@
 		c.Now = time.Now
 	}
 	w := &Worker{
-		config: c, mux: http.NewServeMux(), tasks: make(map[string]*task), seen: make(map[string]int64),
-		last: c.Now(), windowAt: c.Now(), thawed: make(chan struct{}),
+		config: c, mux: http.NewServeMux(), tasks: make(map[string]*task), highestAttempt: make(map[string]int64),
+		advancedAt: c.Now(), windowStart: c.Now(), unfrozen: make(chan struct{}),
 	}
-	close(w.thawed)
+	close(w.unfrozen)
 	w.routes()
 	return w
 }
@@ -102,14 +102,14 @@
 // Handler returns the worker's HTTP interface.
 func (w *Worker) Handler() http.Handler { return w.mux }
 
-// Run serves on l and moves tasks on until ctx ends.
+// Run serves on l and advances tasks until ctx ends.
 func (w *Worker) Run(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		w.moveOn(ctx)
+		w.advanceLoop(ctx)
 	}()
 	err := server.Serve(ctx, l, w.mux)
 	cancel()
@@ -117,8 +117,8 @@
 	return err
 }
 
-func (w *Worker) moveOn(ctx context.Context) {
-	ticker := time.NewTicker(step)
+func (w *Worker) advanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -132,30 +132,30 @@
 	}
 }
 
-// advanceLocked brings every task up to now. The lease is looked at before the
-// work: a task that was paused past its lease must not complete on waking,
-// since it may run elsewhere by then.
+// advanceLocked updates all tasks to the present. It checks the lease before the
+// progress: a task that was paused for longer than its lease must not complete when it
+// resumes, since it may run on another VM by then.
 func (w *Worker) advanceLocked() {
 	now := w.config.Now()
-	elapsed := min(now.Sub(w.last), maxStep)
-	w.last = now
+	elapsed := min(now.Sub(w.advancedAt), maxAdvance)
+	w.advancedAt = now
 	for _, t := range w.tasks {
 		if t.info.State != messenger.ReportRunning {
 			continue
 		}
 		if !now.Before(t.leaseEnd) {
-			w.endLocked(t, messenger.ReportLost, "lease ran out")
+			w.endLocked(t, messenger.ReportLost, "lease expired")
 			continue
 		}
-		done := elapsed * time.Duration(t.info.Percent) / 100 * time.Duration(w.faults.speed()) / 100
-		t.progress += done
-		t.window += done
+		step := elapsed * time.Duration(t.info.Percent) / 100 * time.Duration(w.faults.speed()) / 100
+		t.progress += step
+		t.window += step
 		switch {
-		case w.faults.FailAll && t.progress >= failAfter:
-			w.endLocked(t, messenger.ReportFailed, "worker fails everything")
+		case w.faults.FailAll && t.progress >= failDelay:
+			w.endLocked(t, messenger.ReportFailed, "failed by fault injection")
 		case t.runTime == 0 || t.progress < t.runTime:
 		case t.payload.Fail:
-			w.endLocked(t, messenger.ReportFailed, "payload asks to fail")
+			w.endLocked(t, messenger.ReportFailed, "failure requested by the payload")
 		default:
 			w.endLocked(t, messenger.ReportCompleted, "")
 		}
@@ -187,13 +187,13 @@
 		}
 		t.progress = messenger.FromMillis(ms)
 	}
-	w.seen[c.TaskID] = c.Attempt
+	w.highestAttempt[c.TaskID] = c.Attempt
 	w.tasks[c.TaskID] = t
 	w.recordLocked(t, EventStart, t.progress)
 	return nil
 }
 
-// leaseEnd turns a moment on the VM's clock into one on the monotonic clock.
+// leaseEnd converts a Unix time on the VM's clock to a time with a monotonic reading.
 func (w *Worker) leaseEnd(unixNano int64) time.Time {
 	now := w.config.Now()
 	return now.Add(time.Unix(0, unixNano).Sub(now))
@@ -210,7 +210,7 @@
 	w.recordLocked(t, EventCheckpointed, t.progress)
 }
 
-// committedLocked sums up what the running tasks asked for.
+// committedLocked returns the sum of the requested resources of the running tasks.
 func (w *Worker) committedLocked() describer.Resources {
 	var sum describer.Resources
 	for _, t := range w.tasks {
@@ -221,13 +221,13 @@
 	return sum
 }
 
-// closeWindowLocked ends the usage window when its time is over.
+// closeWindowLocked ends the usage window when its length has passed.
 func (w *Worker) closeWindowLocked(now time.Time) {
-	length := now.Sub(w.windowAt)
+	length := now.Sub(w.windowStart)
 	if length < w.config.UsageWindow {
 		return
 	}
-	u := messenger.Usage{FromMillis: w.windowAt.UnixMilli(), ToMillis: now.UnixMilli()}
+	u := messenger.Usage{FromMillis: w.windowStart.UnixMilli(), ToMillis: now.UnixMilli()}
 	for _, t := range w.tasks {
 		if t.info.State != messenger.ReportRunning && t.window == 0 {
 			continue
@@ -247,7 +247,7 @@
 		u.Tasks = append(u.Tasks, use)
 		t.window = 0
 	}
-	w.windowAt = now
+	w.windowStart = now
 	w.usage = append(w.usage, u)
 	for len(w.usage) > 1 && w.usage[1].ToMillis <= now.Add(-w.config.UsageLag).UnixMilli() {
 		w.usage = w.usage[1:]
