--- a/internal/load/generator/generator.go
+++ b/internal/load/generator/generator.go
@@ -1,7 +1,7 @@
 // Package generator sends requests in an open loop and measures the answers.
-// Arrivals follow a schedule that does not wait for answers, and latency counts
-// from the scheduled time, so that slow answers neither thin the load nor hide
-// the wait of those behind them.
+// Arrivals follow a schedule that does not wait for answers, and latency is
+// measured from the scheduled time. Slow answers therefore neither reduce the
+// load nor hide the delay of later requests.
 package generator
 
 import (
@@ -27,12 +27,12 @@
 
 // Config holds the settings of a Generator.
 type Config struct {
-	Targets     []string // base URLs, taken in turn
-	Path        string   // below a target
-	Method      string   // GET or POST; the answer to a POST must be its body
-	Rate        float64  // arrivals a second
-	Duration    time.Duration
-	WarmUp      time.Duration // sent before and not counted
+	Targets     []string      // base URLs, used in turn
+	Path        string        // appended to the base URL
+	Method      string        // GET or POST; the answer to a POST must be its body
+	Rate        float64       // mean arrivals per second
+	Duration    time.Duration // of the measured period
+	WarmUp      time.Duration // under load before the measured period, not counted
 	Slice       time.Duration // length of the slices of the report; 0: none
 	Timeout     time.Duration
 	BodyBytes   int
@@ -40,14 +40,14 @@
 	Keyed       bool     // send an Idempotency-Key
 	MaxInFlight int
 	Seed        uint64
-	HTTP        *http.Client // nil: one of its own
+	HTTP        *http.Client // nil: a new client
 }
 
-// Generator sends one load.
+// Generator sends requests according to a Config.
 type Generator struct {
 	config Config
 	client *http.Client
-	prefix string // of the request ids of this run
+	prefix string // of all request ids
 }
 
 // New returns a Generator.
@@ -79,7 +79,7 @@
 	counted bool
 }
 
-// Run sends the load and returns the report when every answer is in.
+// Run sends the load, waits for the outstanding answers and returns the report.
 func (g *Generator) Run(ctx context.Context) Report {
 	results := make(chan result, 1024)
 	collected := make(chan Report)
@@ -109,8 +109,8 @@
 	return <-collected
 }
 
-// schedule yields arrivals with exponential gaps, as from many independent
-// callers.
+// schedule yields arrivals with exponentially distributed gaps, as from many
+// independent callers.
 func (g *Generator) schedule() func(yield func(arrival) bool) {
 	random := rand.New(rand.NewPCG(g.config.Seed, 1))
 	return func(yield func(arrival) bool) {
@@ -123,7 +123,7 @@
 			}
 			a := arrival{
 				number: n, at: start.Add(since), offset: since - g.config.WarmUp,
-				tenant: pick(g.config.Tenants, random.Float64()), counted: since >= g.config.WarmUp,
+				tenant: pickTenant(g.config.Tenants, random.Float64()), counted: since >= g.config.WarmUp,
 			}
 			if !yield(a) {
 				return
@@ -132,8 +132,8 @@
 	}
 }
 
-// pick returns the tenant at the point x, from 0 to 1, of the summed shares.
-func pick(tenants []Tenant, x float64) string {
+// pickTenant returns the tenant at the point x, from 0 to 1, of the cumulative shares.
+func pickTenant(tenants []Tenant, x float64) string {
 	var sum float64
 	for _, t := range tenants {
 		sum += t.Share
--- a/internal/load/generator/generator_test.go
+++ b/internal/load/generator/generator_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// A server that stalls must meet the same arrivals as a quick one: a generator
-// that waits for answers would send less to it and show a better tail.
-func TestSlowAnswersDontThinLoad(t *testing.T) {
+// A slow server must receive the same arrivals as a fast one: a generator that waits
+// for answers would send fewer requests to it and report a better tail latency.
+func TestSlowAnswersDontReduceLoad(t *testing.T) {
 	for _, delay := range []time.Duration{0, 300 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) {
-			var came, running, most atomic.Int64
+			var received, running, maxConcurrent atomic.Int64
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				came.Add(1)
-				if n := running.Add(1); n > most.Load() {
-					most.Store(n)
+				received.Add(1)
+				if n := running.Add(1); n > maxConcurrent.Load() {
+					maxConcurrent.Store(n)
 				}
 				time.Sleep(delay)
 				running.Add(-1)
@@ -32,11 +32,11 @@
 			for range want.schedule() {
 				arrivals++
 			}
-			if came.Load() != arrivals || r.Good != arrivals || r.Wrong != 0 {
-				t.Errorf("%d came, %d good, %d wrong of %d", came.Load(), r.Good, r.Wrong, arrivals)
+			if received.Load() != arrivals || r.Good != arrivals || r.Wrong != 0 {
+				t.Errorf("%d received, %d good, %d wrong of %d", received.Load(), r.Good, r.Wrong, arrivals)
 			}
-			if delay > 0 && most.Load() < 10 {
-				t.Errorf("at most %d requests ran at once: arrivals waited for answers", most.Load())
+			if delay > 0 && maxConcurrent.Load() < 10 {
+				t.Errorf("at most %d concurrent requests: arrivals waited for answers", maxConcurrent.Load())
 			}
 			if r.Latency.P50 < float64(delay.Milliseconds()) {
 				t.Errorf("p50 %.1f ms", r.Latency.P50)
@@ -45,16 +45,16 @@
 	}
 }
 
-func TestAnswersAreJudged(t *testing.T) {
+func TestAnswersAreClassified(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
 	cases := []struct {
 		name   string
 		answer http.HandlerFunc
 		check  func(Report) bool
 	}{
-		{"own", echo, func(r Report) bool { return r.Good == r.Offered }},
+		{"own answer", echo, func(r Report) bool { return r.Good == r.Offered }},
 		{
-			"another's", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "other") },
+			"answer to another request", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "other") },
 			func(r Report) bool { return r.Wrong == r.Offered && r.Good == 0 },
 		},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) {
@@ -62,7 +62,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, func(r Report) bool { return r.Outcomes["not-run"] == r.Offered && r.Refused.Count == r.Offered }},
 		{
-			"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+			"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			func(r Report) bool { return r.Outcomes["error"] == r.Offered },
 		},
 	}
--- a/internal/load/generator/report.go
+++ b/internal/load/generator/report.go
@@ -8,9 +8,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits of the histograms, in microseconds.
+// Limits of a report.
 const (
-	minMicros         = 1
+	minMicros         = 1 // least value of the histograms
 	maxMicros         = 120_000_000
 	significantDigits = 3
 	maxReasons        = 20
@@ -27,17 +27,17 @@
 	Max   float64 `json:"max-ms"`
 }
 
-// Counts counts arrivals by what became of them.
+// Counts counts arrivals by their outcome.
 type Counts struct {
 	Offered  int64                       `json:"offered"`
 	Outcomes map[messenger.Outcome]int64 `json:"outcomes"`
 	Statuses map[int]int64               `json:"statuses"`
 	Reasons  map[string]int64            `json:"reasons"` // of answers that are not good
-	Good     int64                       `json:"good"`    // run, status 200, own answer
+	Good     int64                       `json:"good"`    // run, status 200, the expected answer
 	Wrong    int64                       `json:"wrong"`   // status 200 with another answer
 }
 
-// Slice is a part of the run.
+// Slice is the result of one time slice of a load.
 type Slice struct {
 	From    time.Duration `json:"from-ns"`
 	Offered int64         `json:"offered"`
@@ -46,19 +46,19 @@
 	Latency Latency       `json:"latency"` // of good answers
 }
 
-// Report tells how a load was answered.
+// Report is the result of a load.
 type Report struct {
 	Counts
 	Seconds  float64           `json:"seconds"`
 	Goodput  float64           `json:"goodput-per-second"`
 	Latency  Latency           `json:"latency"` // of good answers
-	Refused  Latency           `json:"refused"` // of answers "not-run"
+	Refused  Latency           `json:"refused"` // of answers with the outcome not-run
 	Lag      Latency           `json:"lag"`     // of the generator behind its schedule
 	ByTenant map[string]Counts `json:"by-tenant,omitempty"`
 	Slices   []Slice           `json:"slices,omitempty"`
 }
 
-// collector owns all counts while results come in.
+// collector accumulates the results of a load.
 type collector struct {
 	config             Config
 	report             Report
@@ -102,7 +102,7 @@
 		c.Good++
 		return
 	}
-	// Reasons may name requests; beyond a few kinds they are summed up.
+	// Reasons may contain request ids, so the number of different ones is limited.
 	if _, known := c.Reasons[r.reason]; !known && len(c.Reasons) >= maxReasons {
 		r.reason = "other"
 	}
@@ -153,24 +153,24 @@
 }
 
 func (k *collector) finish() Report {
-	rep := k.report
-	rep.Goodput = float64(rep.Good) / rep.Seconds
-	rep.Latency, rep.Refused, rep.Lag = summarize(k.good), summarize(k.refused), summarize(k.lag)
+	report := k.report
+	report.Goodput = float64(report.Good) / report.Seconds
+	report.Latency, report.Refused, report.Lag = summarize(k.good), summarize(k.refused), summarize(k.lag)
 	for i := range k.slices {
 		k.slices[i].Latency = summarize(k.sliceGood[i])
 	}
-	rep.Slices = k.slices
+	report.Slices = k.slices
 	if len(k.tenants) > 0 {
-		rep.ByTenant = make(map[string]Counts)
+		report.ByTenant = make(map[string]Counts)
 		for name, counts := range k.tenants {
-			rep.ByTenant[name] = *counts
+			report.ByTenant[name] = *counts
 		}
 	}
-	return rep
+	return report
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Within the limits by construction, so that no value is dropped.
+	// The value is clamped to the limits, so that RecordValue cannot fail.
 	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
--- a/internal/load/generator/send.go
+++ b/internal/load/generator/send.go
@@ -14,7 +14,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Headers between callers and entries.
+// Headers of requests and answers between callers and entries.
 const (
 	headerOutcome   = "Bamboospread-Outcome"
 	headerTenant    = "Bamboospread-Tenant"
@@ -25,21 +25,21 @@
 
 // Outcomes that the generator adds to those of the entries.
 const (
-	outcomeError   messenger.Outcome = "error"    // no answer, or not a whole one
-	outcomeNotSent messenger.Outcome = "not-sent" // too many in flight at the generator
+	outcomeError   messenger.Outcome = "error"    // no answer, or an incomplete one
+	outcomeNotSent messenger.Outcome = "not-sent" // MaxInFlight requests were in flight
 )
 
-// timeoutMargin is how much longer than the caller's deadline the generator
-// waits, so that an answer at the deadline is counted as it is.
+// timeoutMargin is added to the caller's deadline, so that an answer that the entry
+// sends at the deadline is still received and counted with its outcome.
 const timeoutMargin = 500 * time.Millisecond
 
-// result is what became of one arrival.
+// result is the outcome of one arrival.
 type result struct {
 	arrival
 	outcome messenger.Outcome
 	status  int
-	reason  string // given by the entry, or the failure of the call
-	wrong   bool   // answered as run, with another body than its own
+	reason  string // reported by the entry, or the failure of the call
+	wrong   bool   // answered as run, but with another body than expected
 	latency time.Duration
 	lag     time.Duration // of the generator behind its schedule
 }
@@ -62,26 +62,26 @@
 	data, err := io.ReadAll(answer.Body)
 	res.latency, res.status = time.Since(a.at), answer.StatusCode
 	if err != nil {
-		res.reason = "answer cut short"
+		res.reason = "incomplete answer"
 		return res
 	}
 	res.outcome = messenger.Outcome(answer.Header.Get(headerOutcome))
 	if res.outcome == "" && answer.StatusCode == http.StatusOK {
-		res.outcome = messenger.OutcomeRun // straight from an upstream
+		res.outcome = messenger.OutcomeRun // upstreams that are called directly do not send the header
 	}
 	if res.outcome == "" {
 		res.outcome = outcomeError
 	}
 	if res.outcome == messenger.OutcomeRun && answer.StatusCode == http.StatusOK {
-		res.wrong = !isOwn(id, body, data)
+		res.wrong = !isOwnAnswer(id, body, data)
 		return res
 	}
-	res.reason = reasonOf(data)
+	res.reason = parseReason(data)
 	return res
 }
 
-// reasonOf returns the reason in an answer of the entry's own, if it is one.
-func reasonOf(data []byte) string {
+// parseReason returns the error in an answer that the entry itself produced, or "".
+func parseReason(data []byte) string {
 	var body struct {
 		Error string `json:"error"`
 	}
@@ -96,8 +96,8 @@
 	var body []byte
 	if g.config.Method == http.MethodPost {
 		body = fmt.Appendf(nil, "id=%s ", id)
-		if fill := g.config.BodyBytes - len(body); fill > 0 {
-			body = append(body, strings.Repeat("x", fill)...)
+		if padding := g.config.BodyBytes - len(body); padding > 0 {
+			body = append(body, strings.Repeat("x", padding)...)
 		}
 	} else if g.config.BodyBytes > 0 {
 		target += "&bytes=" + strconv.Itoa(g.config.BodyBytes)
@@ -117,9 +117,9 @@
 	return r, body, nil
 }
 
-// isOwn tells whether an answer of the stand-in upstream belongs to the request:
-// it echoes the body, or names the path.
-func isOwn(id string, body, answer []byte) bool {
+// isOwnAnswer reports whether an answer of the stand-in upstream belongs to the request
+// with this id. The upstream echoes the body, or the URL of a request without one.
+func isOwnAnswer(id string, body, answer []byte) bool {
 	if len(body) > 0 {
 		return bytes.Equal(body, answer)
 	}
