--- a/internal/demo/demonstrator/demonstrator.go
+++ b/internal/demo/demonstrator/demonstrator.go
@@ -1,7 +1,8 @@
-// Package demonstrator runs the whole path in one process: embedded stand-ins
-// for the store, the workers and the upstreams, real entries and agents, callers,
-// tasks, and one availability zone taken out and back. What it counts comes from
-// the stand-ins and the callers, not from the scheduler.
+// Package demonstrator runs the whole system in one process: embedded stand-ins for
+// the store, the workers, the executors and the upstreams, real entries and agents,
+// callers, tasks and a job, and one availability zone that is taken out of service and
+// back in. It counts what the stand-ins and the callers observe, independently of the
+// scheduler.
 package demonstrator
 
 import (
@@ -27,21 +28,21 @@
 )
 
 const (
-	entryCount     = 2
-	vmCount        = 6
-	vmsPerRack     = 2
-	serviceName    = "labelling"
-	zoneOutName    = "zone-b"
-	startLimit     = 15 * time.Second
-	requestsEach   = 5 * time.Millisecond // pace of the callers
-	tasksPerSecond = 20
-	serviceTime    = 4 * time.Millisecond
-	taskTime       = 700 * time.Millisecond
-	// zoneOutGrace is how long after an accepted change a start may still
-	// happen in a zone taken out, as promised.
-	zoneOutGrace = 3 * time.Second
-	stopLimit    = 10 * time.Second
-	settleLimit  = 15 * time.Second // for the last tasks to end
+	entryCount      = 2
+	vmCount         = 6
+	vmsPerRack      = 2
+	serviceName     = "labelling"
+	zoneOutName     = "zone-b"
+	readyLimit      = 15 * time.Second
+	requestInterval = 5 * time.Millisecond // between two requests of the callers
+	tasksPerSecond  = 20
+	serviceTime     = 4 * time.Millisecond
+	taskTime        = 700 * time.Millisecond
+	// zoneOutGrace is the guaranteed limit after which no start happens in a zone
+	// that an accepted change has taken out.
+	zoneOutGrace   = 3 * time.Second
+	stopLimit      = 10 * time.Second
+	lastTasksLimit = 15 * time.Second // for the last tasks to end, after the load
 )
 
 var zoneNames = []string{"zone-a", zoneOutName, "zone-c"}
@@ -49,56 +50,56 @@
 // Config holds the settings of a Demonstrator.
 type Config struct {
 	Duration time.Duration // of the load
-	Progress io.Writer     // human-readable lines while it runs
+	Progress io.Writer     // receives human-readable progress lines
 	Reporter *reporter.Reporter
 }
 
 // Demonstrator is one run of the demo.
 type Demonstrator struct {
-	config    Config
-	store     *storer.Store
-	workers   []*worker.Worker
-	executors []*executor.Executor
-	servers   []*server.Server
-	entries   []string // HTTP addresses
-	names     []string // of the parts, in the order of starting
-	begin     time.Time
+	config       Config
+	store        *storer.Store
+	workers      []*worker.Worker
+	executors    []*executor.Executor
+	servers      []*server.Server
+	entries      []string // HTTP addresses
+	serviceNames []string // of the services, in the order of their start
+	startedAt    time.Time
 }
 
 // New returns a Demonstrator.
 func New(c Config) *Demonstrator { return &Demonstrator{config: c} }
 
-// Run starts everything, drives the load, stops everything and returns what was
-// counted. The error is nil unless the demo itself could not run.
+// Run starts all services, sends the load, stops the services and returns the counts.
+// The error is nil unless the demo itself could not run.
 func (d *Demonstrator) Run(ctx context.Context) (Summary, error) {
-	d.begin = time.Now()
-	parts := registrar.New(registrar.Config{Reporter: d.config.Reporter, StopLimit: stopLimit})
-	if err := d.assemble(parts); err != nil {
+	d.startedAt = time.Now()
+	services := registrar.New(registrar.Config{Reporter: d.config.Reporter, StopLimit: stopLimit})
+	if err := d.assemble(services); err != nil {
 		return Summary{}, err
 	}
 	ctx, finish := context.WithCancel(ctx)
 	defer finish()
 	var summary Summary
-	var driveError error
-	parts.Add(part("load", func(own context.Context) error {
-		summary, driveError = d.drive(own)
+	var loadError error
+	services.Add(newService("load", func(own context.Context) error {
+		summary, loadError = d.runLoad(own)
 		finish()
 		<-own.Done()
 		return nil
-	}, d.names...))
-	err := parts.Run(ctx)
-	return summary, errors.Join(driveError, err)
+	}, d.serviceNames...))
+	err := services.Run(ctx)
+	return summary, errors.Join(loadError, err)
 }
 
-// assemble adds the store, the entries and the VMs, which stop in reverse order
-// when the load has ended.
-func (d *Demonstrator) assemble(parts *registrar.Registrar) error {
+// assemble adds the store, the entries and the VMs. They stop in reverse order after
+// the load has ended.
+func (d *Demonstrator) assemble(services *registrar.Registrar) error {
 	d.store = storer.New(storer.Config{})
-	runStore, storeURL, err := listening(d.store.Run)
+	runStore, storeURL, err := listen(d.store.Run)
 	if err != nil {
 		return err
 	}
-	d.add(parts, "store", runStore)
+	d.addService(services, "store", runStore)
 	d.progress("store at %s", storeURL)
 	var rpc []string
 	for i := range entryCount {
@@ -110,32 +111,32 @@
 		if err != nil {
 			return err
 		}
-		d.add(parts, fmt.Sprintf("entry-%d", i+1), s.Run)
+		d.addService(services, fmt.Sprintf("entry-%d", i+1), s.Run)
 		d.servers = append(d.servers, s)
 		d.entries = append(d.entries, "http://"+s.HTTPAddress())
 		rpc = append(rpc, s.RPCAddress())
 	}
 	d.progress("entries at %v", d.entries)
-	if err := d.addVMs(parts, rpc); err != nil {
+	if err := d.addVMs(services, rpc); err != nil {
 		return err
 	}
-	if err := d.addJobVMs(parts, rpc); err != nil {
+	if err := d.addJobVMs(services, rpc); err != nil {
 		return err
 	}
 	d.progress("%d VMs in %d availability zones, each with a worker, an agent and an upstream; %d VMs for jobs", vmCount, len(zoneNames), jobVMCount)
 	return nil
 }
 
-// work is what a part does until its context ends.
-type work func(ctx context.Context) error
+// service runs a service until its context ends.
+type service func(ctx context.Context) error
 
-// vm is what runs on one VM.
-type vm struct{ worker, agent, upstream work }
+// vm holds the services of one VM.
+type vm struct{ worker, agent, upstream service }
 
-// addVMs adds the VMs. The upstreams of all VMs stop together, then the agents,
-// then the workers.
-func (d *Demonstrator) addVMs(parts *registrar.Registrar, rpc []string) error {
-	var workers, agents, upstreams []work
+// addVMs adds the VMs. The upstreams of all VMs stop first, then the agents, then the
+// workers.
+func (d *Demonstrator) addVMs(services *registrar.Registrar, rpc []string) error {
+	var workers, agents, upstreams []service
 	for i := range vmCount {
 		v, err := d.newVM(i, rpc)
 		if err != nil {
@@ -143,9 +144,9 @@
 		}
 		workers, agents, upstreams = append(workers, v.worker), append(agents, v.agent), append(upstreams, v.upstream)
 	}
-	d.add(parts, "workers", together(workers))
-	d.add(parts, "agents", together(agents))
-	d.add(parts, "upstreams", together(upstreams))
+	d.addService(services, "workers", runTogether(workers))
+	d.addService(services, "agents", runTogether(agents))
+	d.addService(services, "upstreams", runTogether(upstreams))
 	return nil
 }
 
@@ -157,7 +158,7 @@
 		Total: describer.Resources{Millicores: 16_000, MemoryBytes: 64 << 30},
 	}})
 	d.workers = append(d.workers, w)
-	runWorker, workerURL, err := listening(w.Run)
+	runWorker, workerURL, err := listen(w.Run)
 	if err != nil {
 		return vm{}, err
 	}
@@ -172,15 +173,15 @@
 		ID: "labelling-" + name, Service: serviceName, ServiceTime: serviceTime,
 		Distribution: responder.Exponential, Seed: uint64(i + 1), Agent: "http://" + a.LocalAddress(),
 	})
-	runUpstream, _, err := listening(u.Run)
+	runUpstream, _, err := listen(u.Run)
 	return vm{worker: runWorker, agent: a.Run, upstream: runUpstream}, err
 }
 
-// together runs several works until ctx ends, or one of them does.
-func together(works []work) work {
+// runTogether runs several services until ctx or one of them ends.
+func runTogether(all []service) service {
 	return func(ctx context.Context) error {
 		var group run.Group
-		for _, w := range works {
+		for _, w := range all {
 			own, cancel := context.WithCancel(ctx)
 			group.Add(func() error { return w(own) }, func(error) { cancel() })
 		}
@@ -188,8 +189,9 @@
 	}
 }
 
-// listening opens a loopback listener for serve and returns its URL.
-func listening(serve func(context.Context, net.Listener) error) (work, string, error) {
+// listen opens a loopback listener and returns the service that runs serve on it,
+// and its URL.
+func listen(serve func(context.Context, net.Listener) error) (service, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("listen: %w", err)
@@ -197,13 +199,13 @@
 	return func(ctx context.Context) error { return serve(ctx, l) }, "http://" + l.Addr().String(), nil
 }
 
-// add adds a part that starts after the one added before.
-func (d *Demonstrator) add(parts *registrar.Registrar, name string, w work) {
-	parts.Add(part(name, w, d.names...))
-	d.names = append(d.names, name)
+// addService adds a service that starts after those added before.
+func (d *Demonstrator) addService(services *registrar.Registrar, name string, w service) {
+	services.Add(newService(name, w, d.serviceNames...))
+	d.serviceNames = append(d.serviceNames, name)
 }
 
-func part(name string, w work, needs ...string) registrar.Service {
+func newService(name string, w service, needs ...string) registrar.Service {
 	return registrar.Service{
 		Name: name, Needs: needs, Run: w,
 		Start: func(context.Context, *registrar.Registrar) (any, error) { return name, nil },
@@ -211,5 +213,5 @@
 }
 
 func (d *Demonstrator) progress(format string, args ...any) {
-	fmt.Fprintf(d.config.Progress, "%6.1fs  %s\n", time.Since(d.begin).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(d.config.Progress, "%6.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/demo/demonstrator/fleet.go
+++ b/internal/demo/demonstrator/fleet.go
@@ -1,6 +1,6 @@
 package demonstrator
 
-// fleetText is the text that the demo's operator applies.
+// fleetText is the fleet text that the operator of the demo applies.
 const fleetText = `fleet: demo
 availability-zones:
   - {name: zone-a}
--- a/internal/demo/demonstrator/job.go
+++ b/internal/demo/demonstrator/job.go
@@ -22,29 +22,30 @@
 	jobPayload = `{"run-ms":300}`
 )
 
-// jobSteps are the steps of the demo's job: the second one begins when the first
-// one is done.
+// jobSteps are the steps of the demo's job: the second one starts after the first one
+// is done.
 var jobSteps = []specifier.Step{
 	{Count: 4, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 256}, EstimateMillis: 300},
 	{Count: 6, Needs: specifier.Resources{CPUMillis: 2000, MemoryMB: 512}, EstimateMillis: 300, After: []int{0}},
 }
 
-// jobOutcome is what the executors saw of the job, and what its caller was told.
-type jobOutcome struct {
+// jobCounts holds the counts of the executors for the job, and the state that was
+// reported to its caller.
+type jobCounts struct {
 	state string
 	done  int
-	twice int // tasks that were done twice, or ran twice at one time
-	early int // tasks of the second step that began before the first was done
+	twice int // tasks that were done twice, or had two runs at the same time
+	early int // 1 if a task of the second step started before the first step was done
 }
 
 // addJobVMs adds the VMs that run jobs.
-func (d *Demonstrator) addJobVMs(parts *registrar.Registrar, rpc []string) error {
-	var executors, agents []work
+func (d *Demonstrator) addJobVMs(services *registrar.Registrar, rpc []string) error {
+	var executors, agents []service
 	for i := range jobVMCount {
 		name := fmt.Sprintf("job-vm-%d", i+1)
 		e := executor.New(executor.Config{VM: name, Capacity: specifier.Resources{CPUMillis: 16_000, MemoryMB: 64_000}})
 		d.executors = append(d.executors, e)
-		run, url, err := listening(e.Run)
+		run, url, err := listen(e.Run)
 		if err != nil {
 			return err
 		}
@@ -57,20 +58,20 @@
 		}
 		executors, agents = append(executors, run), append(agents, a.Run)
 	}
-	d.add(parts, "executors", together(executors))
-	d.add(parts, "job-agents", together(agents))
+	d.addService(services, "executors", runTogether(executors))
+	d.addService(services, "job-agents", runTogether(agents))
 	return nil
 }
 
-// runJob submits the job, twice, and waits for its end.
-func (d *Demonstrator) runJob(ctx context.Context, t *tally) error {
+// runJob submits the job once through each entry and waits for its end.
+func (d *Demonstrator) runJob(ctx context.Context, t *observations) error {
 	ctx, cancel := context.WithTimeout(ctx, jobLimit)
 	defer cancel()
 	body, err := json.Marshal(specifier.Job{Payload: jobPayload, Steps: jobSteps})
 	if err != nil {
 		return fmt.Errorf("encode job: %w", err)
 	}
-	for _, entry := range d.entries { // a repeat through another entry stays one job
+	for _, entry := range d.entries { // repeated through another entry, it is still one job
 		if err := d.call(ctx, http.MethodPut, entry+"/v1/queues/"+jobQueue+"/jobs/"+jobID, body, nil); err != nil {
 			return fmt.Errorf("submit job: %w", err)
 		}
@@ -78,9 +79,9 @@
 	d.progress("job of %d steps submitted", len(jobSteps))
 	var a handler.JobAnswer
 	for ctx.Err() == nil && a.State != "done" && a.State != "failed" {
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 		if err := d.call(ctx, http.MethodGet, d.entries[0]+"/v1/jobs/"+jobID, nil, &a); err != nil {
-			continue // asked again
+			continue // polled again
 		}
 	}
 	t.mu.Lock()
@@ -90,9 +91,9 @@
 	return nil
 }
 
-// countJob reads the records of the executors.
-func (d *Demonstrator) countJob(state string) jobOutcome {
-	o := jobOutcome{state: state}
+// countJob counts the job's tasks in the events of the executors.
+func (d *Demonstrator) countJob(state string) jobCounts {
+	o := jobCounts{state: state}
 	running, done := make(map[string]int), make(map[string]int)
 	var firstSecond, lastFirst time.Time
 	for _, e := range d.executors {
@@ -131,7 +132,7 @@
 	return o
 }
 
-func jobTasks() int {
+func jobTaskCount() int {
 	n := 0
 	for _, s := range jobSteps {
 		n += s.Count
@@ -139,7 +140,7 @@
 	return n
 }
 
-// kept tells whether the promises about the job were kept.
-func (o jobOutcome) kept() bool {
-	return o.state == "done" && o.done == jobTasks() && o.twice == 0 && o.early == 0
+// guaranteesHold reports whether the guarantees about the job hold.
+func (o jobCounts) guaranteesHold() bool {
+	return o.state == "done" && o.done == jobTaskCount() && o.twice == 0 && o.early == 0
 }
--- a/internal/demo/demonstrator/load.go
+++ b/internal/demo/demonstrator/load.go
@@ -15,8 +15,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// tally is what the callers and the operator of the demo count.
-type tally struct {
+// observations holds what the callers and the operator of the demo observe.
+type observations struct {
 	mu        sync.Mutex
 	sent      int
 	answered  int
@@ -24,24 +24,24 @@
 	refused   int
 	latencies []time.Duration
 	submitted map[string]bool // accepted task ids
-	jobState  string          // as its caller was told last
+	jobState  string          // last state reported to its caller
 	zoneOut   time.Time       // when the change was accepted
-	zoneIn    time.Time       // when the operator asked for the return
+	zoneIn    time.Time       // when the operator requested the return
 }
 
-// drive plays the callers, a tenant and an operator, and returns the summary.
-func (d *Demonstrator) drive(ctx context.Context) (Summary, error) {
-	if err := d.waitForPath(ctx); err != nil {
+// runLoad acts as the callers, the tenants and an operator, and returns the summary.
+func (d *Demonstrator) runLoad(ctx context.Context) (Summary, error) {
+	if err := d.waitUntilReady(ctx); err != nil {
 		return Summary{}, err
 	}
-	t := &tally{submitted: make(map[string]bool)}
+	t := &observations{submitted: make(map[string]bool)}
 	loadContext, stopLoad := context.WithTimeout(ctx, d.config.Duration)
 	defer stopLoad()
 	operator := make(chan error, 1)
 	tenant := make(chan error, 1)
 	job := make(chan error, 1)
 	go func() { job <- d.runJob(ctx, t) }()
-	go func() { operator <- d.operate(loadContext, t) }()
+	go func() { operator <- d.operateZone(loadContext, t) }()
 	go func() { tenant <- d.submitTasks(loadContext, t) }()
 	d.sendRequests(loadContext, t)
 	if err := <-operator; err != nil {
@@ -58,28 +58,28 @@
 	return d.summarize(t), nil
 }
 
-// waitForPath applies the fleet text and waits until a first request is answered.
-func (d *Demonstrator) waitForPath(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+// waitUntilReady applies the fleet text and waits until all VMs are reachable.
+func (d *Demonstrator) waitUntilReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
-		if last = d.call(ctx, http.MethodPut, d.entries[0]+"/v1/fleet?base=0", []byte(fleetText), nil); last == nil {
+		if lastErr = d.call(ctx, http.MethodPut, d.entries[0]+"/v1/fleet?base=0", []byte(fleetText), nil); lastErr == nil {
 			break
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	d.progress("fleet text applied")
 	for ctx.Err() == nil {
 		var status messenger.Status
-		last = d.call(ctx, http.MethodGet, d.entries[0]+"/v1/status", nil, &status)
-		if last == nil && countReachable(status) == vmCount {
+		lastErr = d.call(ctx, http.MethodGet, d.entries[0]+"/v1/status", nil, &status)
+		if lastErr == nil && countReachable(status) == vmCount {
 			d.progress("cell owned by %s in epoch %d, %d VMs in session", status.Owner, status.Epoch, vmCount)
 			return nil
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
-	return fmt.Errorf("the path did not come up in %s: %w", startLimit, last)
+	return fmt.Errorf("the system was not ready within %s: %w", readyLimit, lastErr)
 }
 
 func countReachable(s messenger.Status) int {
@@ -92,9 +92,10 @@
 	return n
 }
 
-// operate takes a zone out after a third of the time and back after two thirds.
-func (d *Demonstrator) operate(ctx context.Context, t *tally) error {
-	pause(ctx, d.config.Duration/3)
+// operateZone takes a zone out of service after a third of the duration and back in after
+// two thirds.
+func (d *Demonstrator) operateZone(ctx context.Context, t *observations) error {
+	sleep(ctx, d.config.Duration/3)
 	url := d.entries[1] + "/v1/zones/" + zoneOutName
 	if err := d.call(ctx, http.MethodPost, url, []byte(`{"state":"out"}`), nil); err != nil {
 		return fmt.Errorf("take %s out: %w", zoneOutName, err)
@@ -103,28 +104,28 @@
 	t.zoneOut = time.Now()
 	t.mu.Unlock()
 	d.progress("%s taken out", zoneOutName)
-	pause(ctx, d.config.Duration/3)
+	sleep(ctx, d.config.Duration/3)
 	t.mu.Lock()
 	t.zoneIn = time.Now()
 	t.mu.Unlock()
 	if err := d.call(ctx, http.MethodPost, url, []byte(`{"state":"in"}`), nil); err != nil {
-		return fmt.Errorf("take %s back: %w", zoneOutName, err)
+		return fmt.Errorf("take %s back in: %w", zoneOutName, err)
 	}
-	d.progress("%s taken back", zoneOutName)
+	d.progress("%s taken back in", zoneOutName)
 	return nil
 }
 
-// submitTasks submits small waves of tasks; the same id is used again after an
-// answer that was lost or a refusal, which is harmless.
-func (d *Demonstrator) submitTasks(ctx context.Context, t *tally) error {
+// submitTasks submits small batches of tasks. It repeats a batch with the same ids
+// after a lost answer or a refusal, which is safe.
+func (d *Demonstrator) submitTasks(ctx context.Context, t *observations) error {
 	payload := fmt.Sprintf(`{"run-ms":%d}`, taskTime.Milliseconds())
 	classes := []string{"label-batch", "label-batch", "sorting-run"}
 	tenants := []string{"packhouse", "office"}
-	for wave := 0; ctx.Err() == nil; wave++ {
+	for batch := 0; ctx.Err() == nil; batch++ {
 		request := messenger.SubmitRequest{Cell: "main"}
 		for i := range tasksPerSecond / 2 {
 			request.Tasks = append(request.Tasks, messenger.TaskSpec{
-				ID: fmt.Sprintf("task-%03d-%02d", wave, i), Tenant: tenants[i%len(tenants)],
+				ID: fmt.Sprintf("task-%03d-%02d", batch, i), Tenant: tenants[i%len(tenants)],
 				Class: classes[i%len(classes)], Payload: payload,
 			})
 		}
@@ -134,18 +135,18 @@
 		}
 		var reply messenger.SubmitReply
 		for ctx.Err() == nil {
-			if err := d.call(ctx, http.MethodPost, d.entries[wave%entryCount]+"/v1/tasks", body, &reply); err == nil {
+			if err := d.call(ctx, http.MethodPost, d.entries[batch%entryCount]+"/v1/tasks", body, &reply); err == nil {
 				break
 			}
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 		t.accept(reply)
-		pause(ctx, 500*time.Millisecond)
+		sleep(ctx, 500*time.Millisecond)
 	}
 	return nil
 }
 
-func (t *tally) accept(reply messenger.SubmitReply) {
+func (t *observations) accept(reply messenger.SubmitReply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, v := range reply.Verdicts {
@@ -155,10 +156,10 @@
 	}
 }
 
-// sendRequests sends requests at a fixed pace, whether answers come or not.
-func (d *Demonstrator) sendRequests(ctx context.Context, t *tally) {
+// sendRequests sends requests at a fixed rate, independently of their answers.
+func (d *Demonstrator) sendRequests(ctx context.Context, t *observations) {
 	var callers sync.WaitGroup
-	ticker := time.NewTicker(requestsEach)
+	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
 		callers.Add(1)
@@ -177,9 +178,9 @@
 	callers.Wait()
 }
 
-// sendRequest sends one request whose body no other has, and checks that the
-// answer is its own and whole: the upstreams answer with the body they got.
-func (d *Demonstrator) sendRequest(ctx context.Context, t *tally, n int) {
+// sendRequest sends one request with a unique body and checks that the answer is its
+// own and complete: the upstreams echo the body.
+func (d *Demonstrator) sendRequest(ctx context.Context, t *observations, n int) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	own := bytes.Repeat([]byte(fmt.Sprintf("lot-%06d;", n)), 20)
@@ -188,7 +189,7 @@
 	if err != nil {
 		return
 	}
-	begin := time.Now()
+	startedAt := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	status, body := 0, []byte(nil)
 	if err == nil {
@@ -207,23 +208,24 @@
 		t.wrong++
 	default:
 		t.answered++
-		t.latencies = append(t.latencies, time.Since(begin))
+		t.latencies = append(t.latencies, time.Since(startedAt))
 	}
 }
 
-// waitForTasks waits until the workers have seen the end of all accepted tasks.
-func (d *Demonstrator) waitForTasks(ctx context.Context, t *tally) {
-	ctx, cancel := context.WithTimeout(ctx, settleLimit)
+// waitForTasks waits until the workers have completed all accepted tasks.
+func (d *Demonstrator) waitForTasks(ctx context.Context, t *observations) {
+	ctx, cancel := context.WithTimeout(ctx, lastTasksLimit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if w := d.countWork(t); w.completed >= len(t.submitted) {
+		if w := d.countTasks(t); w.completed >= len(t.submitted) {
 			return
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-// call sends an operator's request and decodes a JSON answer into result.
+// call sends an operator's request and decodes the JSON answer into result, unless
+// result is nil.
 func (d *Demonstrator) call(ctx context.Context, method, url string, body []byte, result any) error {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -248,7 +250,7 @@
 	return json.Unmarshal(answer, result)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/demo/demonstrator/summary.go
+++ b/internal/demo/demonstrator/summary.go
@@ -10,22 +10,22 @@
 	"bamboospread/internal/standin/worker"
 )
 
-// Summary is what callers and stand-ins counted.
+// Summary holds the counts of callers and stand-ins.
 type Summary struct {
 	RequestsSent      int     `json:"requests-sent"`
 	RequestsAnswered  int     `json:"requests-answered"`
 	RequestsRefused   int     `json:"requests-refused"`
-	RequestsWrong     int     `json:"requests-wrong"` // not the caller's own answer, or not whole
+	RequestsWrong     int     `json:"requests-wrong"` // not the caller's own answer, or incomplete
 	TasksSubmitted    int     `json:"tasks-submitted"`
 	TasksCompleted    int     `json:"tasks-completed"`
-	TasksRunTwice     int     `json:"tasks-run-twice"` // completed twice, or two attempts at one time
+	TasksRunTwice     int     `json:"tasks-run-twice"` // completed twice, or had two attempts at the same time
 	Evictions         int     `json:"evictions"`
-	StartsInZoneOut   int     `json:"starts-in-zone-out"` // later than 3 s after the change
+	StartsInZoneOut   int     `json:"starts-in-zone-out"` // more than 3 s after the change
 	OverCommitted     int     `json:"vms-over-committed"`
 	JobState          string  `json:"job-state"`
 	JobTasksDone      int     `json:"job-tasks-done"`
 	JobTasksTwice     int     `json:"job-tasks-run-twice"`
-	JobTasksEarly     int     `json:"job-tasks-early"` // began before the step that they depend on was done
+	JobTasksEarly     int     `json:"job-tasks-early"` // started before the step that they depend on was done
 	LatencyP50Millis  float64 `json:"latency-p50-ms"`
 	LatencyP99Millis  float64 `json:"latency-p99-ms"`
 	StoreCalls        int64   `json:"store-calls"`
@@ -34,16 +34,16 @@
 	TasksNotCompleted int     `json:"tasks-not-completed"`
 }
 
-// outcome is what the workers saw.
-type outcome struct {
+// workerCounts holds the counts of the workers.
+type workerCounts struct {
 	completed, twice, evictions, inZoneOut, overCommitted int
 }
 
-// countWork reads the records of all workers.
-func (d *Demonstrator) countWork(t *tally) outcome {
+// countTasks counts tasks in the events of all workers.
+func (d *Demonstrator) countTasks(t *observations) workerCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var w outcome
+	var w workerCounts
 	completions := make(map[string]int)
 	running := make(map[string]int)
 	for _, e := range d.events() {
@@ -56,7 +56,7 @@
 			if running[e.Task] > 1 {
 				w.twice++
 			}
-			if e.Zone == zoneOutName && t.isZoneOut(e.Time) {
+			if e.Zone == zoneOutName && t.isForbiddenStart(e.Time) {
 				w.inZoneOut++
 			}
 		case worker.EventCheckpointed:
@@ -80,12 +80,12 @@
 	return w
 }
 
-// isZoneOut tells whether a start at the given moment breaks the promise.
-func (t *tally) isZoneOut(at time.Time) bool {
+// isForbiddenStart reports whether a start in the zone at the given time violates the guarantee.
+func (t *observations) isForbiddenStart(at time.Time) bool {
 	return !t.zoneOut.IsZero() && at.After(t.zoneOut.Add(zoneOutGrace)) && (t.zoneIn.IsZero() || at.Before(t.zoneIn))
 }
 
-// events returns the records of all workers, oldest first.
+// events returns the events of all workers, oldest first.
 func (d *Demonstrator) events() []worker.Event {
 	var all []worker.Event
 	for _, w := range d.workers {
@@ -95,8 +95,8 @@
 	return all
 }
 
-func (d *Demonstrator) summarize(t *tally) Summary {
-	w := d.countWork(t)
+func (d *Demonstrator) summarize(t *observations) Summary {
+	w := d.countTasks(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	job := d.countJob(t.jobState)
@@ -107,14 +107,14 @@
 		Evictions: w.evictions, StartsInZoneOut: w.inZoneOut, OverCommitted: w.overCommitted,
 		JobState: job.state, JobTasksDone: job.done, JobTasksTwice: job.twice, JobTasksEarly: job.early,
 		LatencyP50Millis: millis(percentile(t.latencies, 0.5)), LatencyP99Millis: millis(percentile(t.latencies, 0.99)),
-		DurationMillis: time.Since(d.begin).Milliseconds(),
+		DurationMillis: time.Since(d.startedAt).Milliseconds(),
 	}
 	for _, n := range d.store.Calls().Calls {
 		s.StoreCalls += n
 	}
 	s.TasksNotCompleted = s.TasksSubmitted - s.TasksCompleted
 	s.PromisesKept = s.RequestsWrong == 0 && s.TasksRunTwice == 0 && s.StartsInZoneOut == 0 &&
-		s.OverCommitted == 0 && job.kept() && s.TasksNotCompleted == 0 &&
+		s.OverCommitted == 0 && job.guaranteesHold() && s.TasksNotCompleted == 0 &&
 		s.RequestsAnswered+s.RequestsRefused == s.RequestsSent
 	return s
 }
@@ -130,16 +130,16 @@
 	fmt.Fprintf(table, "tasks\t%d submitted, %d completed, %d run twice, %d evictions\n",
 		s.TasksSubmitted, s.TasksCompleted, s.TasksRunTwice, s.Evictions)
 	fmt.Fprintf(table, "job\t%s, %d of %d tasks done, %d run twice, %d too early\n",
-		s.JobState, s.JobTasksDone, jobTasks(), s.JobTasksTwice, s.JobTasksEarly)
-	fmt.Fprintf(table, "zone out\t%d starts later than %s after it was taken out\n", s.StartsInZoneOut, zoneOutGrace)
+		s.JobState, s.JobTasksDone, jobTaskCount(), s.JobTasksTwice, s.JobTasksEarly)
+	fmt.Fprintf(table, "zone out\t%d starts more than %s after it was taken out\n", s.StartsInZoneOut, zoneOutGrace)
 	fmt.Fprintf(table, "VMs\t%d times over-committed\n", s.OverCommitted)
 	fmt.Fprintf(table, "store\t%d calls\n", s.StoreCalls)
-	verdict := "every promise was kept"
+	result := "all guarantees hold"
 	if !s.PromisesKept {
-		verdict = "A PROMISE WAS BROKEN"
+		result = "A GUARANTEE WAS VIOLATED"
 	}
-	fmt.Fprintf(table, "verdict\t%s\n", verdict)
-	// A terminal that went away needs no summary.
+	fmt.Fprintf(table, "result\t%s\n", result)
+	// An error here means that the output is closed; there is nowhere to report it.
 	_ = table.Flush()
 }
 
