--- a/internal/bench/measurer/apply.go
+++ b/internal/bench/measurer/apply.go
@@ -7,14 +7,14 @@
 	"bamboospread/internal/control/placer"
 )
 
-// apply carries out a plan.
+// apply executes a plan.
 func (p *pool) apply(plan placer.Plan) {
 	for _, s := range plan.Starts {
-		p.start(p.tasks[s.TaskID], p.byName(s.VM))
+		p.start(p.tasks[s.TaskID], p.findVM(s.VM))
 	}
 	for _, th := range plan.Throttles {
 		t := p.tasks[th.TaskID]
-		v := p.byName(t.VM)
+		v := p.findVM(t.VM)
 		t.Percent = th.Percent
 		v.spec.Acted = p.clock()
 		v.endPlacement(t.ID, p.clock())
@@ -23,10 +23,10 @@
 	}
 	for _, e := range plan.Evictions {
 		t := p.tasks[e.TaskID]
-		t.Stopping, t.stopped = true, p.now+checkpointTime
+		t.Stopping, t.checkpointedAt = true, p.now+checkpointTime
 		t.moves++
-		p.byName(t.VM).spec.Acted = p.clock()
-		p.tally.evict(p.out[p.byName(t.VM).spec.Zone])
+		p.findVM(t.VM).spec.Acted = p.clock()
+		p.tally.addEviction(p.zonesOut[p.findVM(t.VM).spec.Zone])
 	}
 }
 
@@ -37,17 +37,17 @@
 			break
 		}
 	}
-	t.VM, t.Started, t.warm, t.done = v.spec.Name, p.clock(), p.now+warmUp, t.saved
+	t.VM, t.Started, t.warmUntil, t.done = v.spec.Name, p.clock(), p.now+warmUp, t.saved
 	v.spec.Committed = v.spec.Committed.Add(t.Needs)
-	if !v.spec.Committed.Fits(v.spec.Total) || p.out[v.spec.Zone] || v.off {
-		p.tally.broken++
+	if !v.spec.Committed.Fits(v.spec.Total) || p.zonesOut[v.spec.Zone] || v.off {
+		p.tally.violations++
 	}
 	v.tasks = append(v.tasks, t)
 	v.placements = append(v.placements, learner.Placement{TaskID: t.ID, Class: t.Class, From: p.clock()})
 	p.tally.starts++
 }
 
-func (p *pool) byName(name string) *vm {
+func (p *pool) findVM(name string) *vm {
 	for _, v := range p.vms {
 		if v.spec.Name == name {
 			return v
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// switchZone turns the VMs of a zone off or on again. What runs there is lost
-// back to its checkpoint.
+// switchZone turns the VMs of a zone off or on. Running tasks lose their progress
+// since the last checkpoint and are queued again.
 func (p *pool) switchZone(zone string, on bool) {
 	for _, v := range p.vms {
 		if v.spec.Zone != zone {
@@ -71,7 +71,7 @@
 		for _, t := range v.tasks {
 			p.tally.lost++
 			p.tally.lostWork += (t.done - t.saved) * float64(t.Needs.Millicores) / 1000
-			p.leave(v, t)
+			p.removeTask(v, t)
 			t.done = t.saved
 			p.queue = append(p.queue, t)
 		}
@@ -79,7 +79,8 @@
 	}
 }
 
-// trueInterference is what the hidden truth says at medium load.
+// trueInterference returns the interference of a class at medium load according to the
+// ground truth, with confidence 1.
 func (p *pool) trueInterference(_, class string) (slowdown, confidence float64) {
 	for i, c := range p.user.classes {
 		if c.name == class {
@@ -89,9 +90,9 @@
 	return 0, 0
 }
 
-// finish counts the work of tasks that still run.
+// finish counts the work that arrived and the tasks that are left in the queue.
 func (p *pool) finish() {
 	for _, t := range p.tasks {
-		p.tally.unfinished(t)
+		p.tally.addArrived(t)
 	}
 }
--- a/internal/bench/measurer/main.go
+++ b/internal/bench/measurer/main.go
@@ -1,6 +1,6 @@
-// Command bench measures the placement under interference on a small fake
-// worker pool, for the sizes of both users, against its baselines. It writes
-// CSV files and plots.
+// Command bench compares placement policies under interference with their baselines,
+// on a small simulated worker pool with the VM sizes of both users. It writes CSV
+// files and plots.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// outcome is one run.
+// outcome is the result of one run.
 type outcome struct {
 	user    string
 	variant string
@@ -23,19 +23,19 @@
 }
 
 func main() {
-	seeds := flag.Int("seeds", 10, "number of seeds, from 1")
-	out := flag.String("out", "build/bench", "folder for CSV and SVG files")
-	parallel := flag.Int("parallel", 4, "runs at once")
-	only := flag.String("only", "", "variants, separated by semicolons; all, if empty")
+	seeds := flag.Int("seeds", 10, "number of seeds, starting at 1")
+	out := flag.String("out", "build/bench", "directory for CSV and SVG files")
+	parallel := flag.Int("parallel", 4, "number of parallel runs")
+	only := flag.String("only", "", "variants to run, separated by semicolons; empty: all")
 	flag.Parse()
 	outcomes := runAll(*seeds, *parallel, *only)
-	if err := write(*out, outcomes); err != nil {
+	if err := writeResults(*out, outcomes); err != nil {
 		fmt.Fprintln(os.Stderr, "bench:", err)
 		os.Exit(1)
 	}
 }
 
-// runAll runs every user, variant and seed.
+// runAll runs every combination of user, variant and seed.
 func runAll(seeds, parallel int, only string) []outcome {
 	var outcomes []outcome
 	var jobs []func()
@@ -45,7 +45,7 @@
 				continue
 			}
 			if v.weights != nil && sameWeights(*v.weights, u.policy) {
-				continue // it is "learned"
+				continue // same as the variant "learned"
 			}
 			for seed := range seeds {
 				outcomes = append(outcomes, outcome{user: u.name, variant: v.name, seed: uint64(seed + 1)})
--- a/internal/bench/measurer/plot.go
+++ b/internal/bench/measurer/plot.go
@@ -9,10 +9,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotTrade draws each run as a point: work done against the tail latency.
-func plotTrade(path, user string, outcomes []outcome) error {
+// plotTradeOff plots the tail latency over the completed work, one point per run.
+func plotTradeOff(path, user string, outcomes []outcome) error {
 	p := plot.New()
-	p.Title.Text = user + ": work and tail latency, a point for each seed"
+	p.Title.Text = user + ": work and tail latency, one point per seed"
 	p.X.Label.Text = "work done (core-hours)"
 	p.Y.Label.Text = "p99 / objective"
 	p.Legend.Top = true
--- a/internal/bench/measurer/pool.go
+++ b/internal/bench/measurer/pool.go
@@ -12,45 +12,45 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// pool is a fake worker pool: it runs tasks in steps of a second, disturbs the
-// service as the hidden truth says, and reports with a lag. It is no simulator
-// of the system: orders arrive at once and no message is lost but reports.
+// pool is a simulated worker pool. It advances tasks in steps of a second, applies the
+// interference of the ground truth to the service, and reports with a lag. It does not
+// simulate the whole system: orders arrive immediately, and only reports can be lost.
 type pool struct {
-	user   user
-	truth  truth
-	now    time.Duration // since the start
-	rng    *rand.Rand    // of measurements
-	vms    []*vm
-	tasks  map[string]*task
-	load   float64
-	loadOf func(now time.Duration) float64
-	out    map[string]bool // zones that operators took out
-	queue  []*task
-	mail   []mail
-	tally  tally
+	user           user
+	truth          truth
+	now            time.Duration // since the start
+	rng            *rand.Rand    // for measurements
+	vms            []*vm
+	tasks          map[string]*task
+	load           float64
+	loadOf         func(now time.Duration) float64
+	zonesOut       map[string]bool // zones that operators took out
+	queue          []*task
+	pendingReports []delayedReport
+	tally          tally
 }
 
 type vm struct {
-	spec       placer.VM
-	tasks      []*task
-	placements []learner.Placement
-	p99        float64 // as a ratio to the objective, now
-	window     []float64
-	silent     time.Duration // reports stop until then
-	off        bool
+	spec           placer.VM
+	tasks          []*task
+	placements     []learner.Placement
+	p99            float64 // current ratio to the objective
+	window         []float64
+	noReportsUntil time.Duration
+	off            bool
 }
 
 type task struct {
 	placer.Task
-	arrival arrival
-	done    float64 // seconds of work
-	saved   float64 // work in the checkpoint
-	warm    time.Duration
-	stopped time.Duration // when the checkpoint is complete
-	moves   int
+	arrival        arrival
+	done           float64       // completed seconds of work
+	saved          float64       // work in the checkpoint
+	warmUntil      time.Duration // no progress until then
+	checkpointedAt time.Duration // when the checkpoint is complete
+	moves          int
 }
 
-type mail struct {
+type delayedReport struct {
 	at     time.Duration
 	vm     *vm
 	usage  messenger.Usage
@@ -58,77 +58,77 @@
 }
 
 const (
-	step           = time.Second
-	reportEvery    = 5 * time.Second
-	warmUp         = 4 * time.Second // of a started or resumed task, without progress
-	checkpointTime = 3 * time.Second
-	lostReports    = 0.05
-	doubledReports = 0.02
-	silentFor      = 4 * time.Minute
-	baseRatio      = 0.42 // p99 of an undisturbed service without load, by its objective
-	windowNoise    = 0.1
-	sampleSpread   = 0.6 // of single answers: standard deviation of the logarithm
-	ninetyNinth    = 2.326
-	samplesPerStep = 20
+	step                  = time.Second
+	reportInterval        = 5 * time.Second
+	warmUp                = 4 * time.Second // time without progress after a start or resume
+	checkpointTime        = 3 * time.Second
+	lostReportShare       = 0.05
+	duplicatedReportShare = 0.02
+	firstReportAfter      = 4 * time.Minute
+	idleP99Ratio          = 0.42 // ratio of p99 to the objective without interference and load
+	windowNoise           = 0.1
+	sampleSpread          = 0.6   // standard deviation of the logarithm of a single latency
+	normalQuantile99      = 2.326 // 99% quantile of the standard normal distribution
+	samplesPerStep        = 20
 )
 
-var epoch = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-func (p *pool) clock() time.Time { return epoch.Add(p.now) }
+func (p *pool) clock() time.Time { return startTime.Add(p.now) }
 
 func newPool(u user, tr truth, seed uint64) *pool {
-	p := &pool{user: u, truth: tr, rng: rand.New(rand.NewPCG(seed, 0xfeed)), tasks: make(map[string]*task), out: make(map[string]bool)}
+	p := &pool{user: u, truth: tr, rng: rand.New(rand.NewPCG(seed, 0xfeed)), tasks: make(map[string]*task), zonesOut: make(map[string]bool)}
 	for i := range vmCount {
 		p.vms = append(p.vms, &vm{spec: placer.VM{
 			Name: fmt.Sprintf("vm-%02d", i), Zone: zoneName(i % u.zones), Rack: fmt.Sprintf("rack-%d", i/vmsPerRack),
 			Total: u.total, Committed: u.service.Needs, Reachable: true, Services: []string{u.service.Name},
 		}})
 	}
-	p.vms[1].silent = silentFor // a VM whose reports come only later
+	p.vms[1].noReportsUntil = firstReportAfter // its reports start late
 	p.tally = newTally()
 	return p
 }
 
-// advance runs the pool for one step.
+// advance simulates one step.
 func (p *pool) advance() {
 	p.now += step
-	p.arrive()
-	alive := 0
+	p.enqueueArrivals()
+	serving := 0
 	for _, v := range p.vms {
-		if !v.off && !p.out[v.spec.Zone] {
-			alive++
+		if !v.off && !p.zonesOut[v.spec.Zone] {
+			serving++
 		}
 	}
-	p.load = p.serviceLoad() * float64(vmCount) / float64(alive)
+	p.load = p.serviceLoad() * float64(vmCount) / float64(serving)
 	for i, v := range p.vms {
 		if v.off {
 			continue
 		}
-		p.work(v)
-		if !p.out[v.spec.Zone] { // callers are sent elsewhere
-			p.answer(v)
+		p.advanceVM(v)
+		if !p.zonesOut[v.spec.Zone] { // otherwise its callers use other zones
+			p.sampleLatencies(v)
 		}
-		if int(p.now/step+time.Duration(i))%int(reportEvery/step) == 0 {
-			p.report(v)
+		if int(p.now/step+time.Duration(i))%int(reportInterval/step) == 0 {
+			p.sendReport(v)
 		}
 	}
 }
 
-func (p *pool) arrive() {
+func (p *pool) enqueueArrivals() {
 	for len(p.truth.arrivals) > 0 && p.truth.arrivals[0].at <= p.now {
 		a := p.truth.arrivals[0]
 		p.truth.arrivals = p.truth.arrivals[1:]
 		c := p.user.classes[a.class]
 		t := &task{arrival: a, Task: placer.Task{
 			ID: fmt.Sprintf("%s-%d", c.name, len(p.tasks)), Tenant: c.tenant, Class: c.name, Needs: c.needs,
-			Checkpoint: !c.fixed, Submitted: p.clock(),
+			Checkpoint: !c.noCheckpoint, Submitted: p.clock(),
 		}}
 		p.tasks[t.ID] = t
 		p.queue = append(p.queue, t)
 	}
 }
 
-// serviceLoad swings slowly and surges at random.
+// serviceLoad returns the load of the service: a slow sine wave plus random surges.
 func (p *pool) serviceLoad() float64 {
 	load := 0.5 + 0.25*math.Sin(2*math.Pi*p.now.Minutes()/30)
 	for _, s := range p.truth.surges {
@@ -140,60 +140,60 @@
 }
 
 func (p *pool) effects() []float64 {
-	if p.now > shiftAt {
-		return p.truth.later
+	if p.now > effectShiftAt {
+		return p.truth.shiftedEffect
 	}
 	return p.truth.effect
 }
 
-// work moves the tasks of a VM on by a step and sets the latency of the service.
-func (p *pool) work(v *vm) {
+// advanceVM advances the tasks of a VM by one step and sets the latency of the service.
+func (p *pool) advanceVM(v *vm) {
 	used := float64(p.user.service.Needs.Millicores) * min(1, p.load)
-	disturbance, held, slowed := 0.0, 0.0, 0.0
+	interference, committed, throttled := 0.0, 0.0, 0.0
 	for _, t := range v.tasks {
-		s := share(t.Percent)
+		s := speedFactor(t.Percent)
 		used += float64(t.Needs.Millicores) * p.truth.usage[t.arrival.class] * s
-		held += float64(t.Needs.Millicores)
-		slowed += float64(t.Needs.Millicores) * (1 - s)
-		disturbance += p.effects()[t.arrival.class] * t.arrival.effect * s * (0.6 + 0.8*p.load)
+		committed += float64(t.Needs.Millicores)
+		throttled += float64(t.Needs.Millicores) * (1 - s)
+		interference += p.effects()[t.arrival.class] * t.arrival.effect * s * (0.6 + 0.8*p.load)
 	}
-	p.tally.hold(float64(v.spec.Total.Sub(p.user.service.Needs).Millicores), held, slowed)
+	p.tally.addCapacity(float64(v.spec.Total.Sub(p.user.service.Needs).Millicores), committed, throttled)
 	over := max(1, used/float64(v.spec.Total.Millicores))
-	v.p99 = baseRatio * (1 + 0.6*p.load*p.load) * math.Exp(disturbance) * over * over
+	v.p99 = idleP99Ratio * (1 + 0.6*p.load*p.load) * math.Exp(interference) * over * over
 	v.window = append(v.window, v.p99)
 	var rest []*task
 	for _, t := range v.tasks {
-		if !p.progress(v, t, share(t.Percent)/over) {
+		if !p.advanceTask(v, t, speedFactor(t.Percent)/over) {
 			rest = append(rest, t)
 		}
 	}
 	v.tasks = rest
 }
 
-// progress moves a task on and tells whether it has left the VM.
-func (p *pool) progress(v *vm, t *task, speed float64) bool {
+// advanceTask advances a task and reports whether it has left the VM.
+func (p *pool) advanceTask(v *vm, t *task, speed float64) bool {
 	if t.Stopping {
-		if p.now < t.stopped {
+		if p.now < t.checkpointedAt {
 			return false
 		}
 		t.saved = t.done
-		p.leave(v, t)
+		p.removeTask(v, t)
 		p.queue = append(p.queue, t)
 		return true
 	}
-	if p.now < t.warm {
+	if p.now < t.warmUntil {
 		return false
 	}
 	t.done += speed * step.Seconds()
 	if t.done < t.arrival.runTime {
 		return false
 	}
-	p.leave(v, t)
-	p.tally.complete(t, p.now)
+	p.removeTask(v, t)
+	p.tally.addCompleted(t, p.now)
 	return true
 }
 
-func (p *pool) leave(v *vm, t *task) {
+func (p *pool) removeTask(v *vm, t *task) {
 	v.spec.Committed = v.spec.Committed.Sub(t.Needs)
 	v.endPlacement(t.ID, p.clock())
 	t.VM, t.Stopping, t.Percent = "", false, 0
@@ -207,18 +207,18 @@
 	}
 }
 
-func (p *pool) answer(v *vm) {
+func (p *pool) sampleLatencies(v *vm) {
 	for range int(samplesPerStep * p.load) {
-		p.tally.answer(p.now, v.p99*math.Exp(sampleSpread*(p.rng.NormFloat64()-ninetyNinth)), v.p99)
+		p.tally.addAnswer(p.now, v.p99*math.Exp(sampleSpread*(p.rng.NormFloat64()-normalQuantile99)), v.p99)
 	}
 }
 
-// report posts the measurement of the last window; it arrives later, sometimes
-// twice or never.
-func (p *pool) report(v *vm) {
+// sendReport sends the measurement of the last window. It arrives with a lag, and may be
+// lost or duplicated.
+func (p *pool) sendReport(v *vm) {
 	window := v.window
 	v.window = nil
-	if len(window) == 0 || p.now < v.silent || p.rng.Float64() < lostReports {
+	if len(window) == 0 || p.now < v.noReportsUntil || p.rng.Float64() < lostReportShare {
 		return
 	}
 	ratio := 0.0
@@ -234,45 +234,46 @@
 		}},
 	}
 	n := 1
-	if p.rng.Float64() < doubledReports {
+	if p.rng.Float64() < duplicatedReportShare {
 		n = 2
 	}
 	for range n {
 		lag := 5*time.Second + time.Duration(p.rng.Int64N(int64(10*time.Second)))
-		p.mail = append(p.mail, mail{at: p.now + lag, vm: v, usage: usage})
+		p.pendingReports = append(p.pendingReports, delayedReport{at: p.now + lag, vm: v, usage: usage})
 	}
 }
 
-// deliver hands the reports that are due to the learner.
-func (p *pool) deliver(l *learner.Learner) {
-	var rest []mail
-	for _, m := range p.mail {
+// deliverReports passes the reports that are due to the learner.
+func (p *pool) deliverReports(l *learner.Learner) {
+	var rest []delayedReport
+	for _, m := range p.pendingReports {
 		if m.at > p.now {
 			rest = append(rest, m)
 			continue
 		}
 		l.Observe(m.vm.spec.Name, m.usage, m.vm.placements)
 	}
-	p.mail = rest
+	p.pendingReports = rest
 	for _, v := range p.vms {
-		kept := v.placements[:0]
+		recent := v.placements[:0]
 		for _, pl := range v.placements {
 			if pl.To.IsZero() || p.clock().Sub(pl.To) < time.Minute {
-				kept = append(kept, pl)
+				recent = append(recent, pl)
 			}
 		}
-		v.placements = kept
+		v.placements = recent
 	}
 }
 
-func share(percent int) float64 {
+func speedFactor(percent int) float64 {
 	if percent <= 0 {
 		return 1
 	}
 	return float64(percent) / 100
 }
 
-// snapshot shows the pool as the owner of a cell sees it.
+// snapshot returns the state of the pool in the form that the placer gets from the
+// owner of a cell.
 func (p *pool) snapshot(f *describer.Fleet, l *learner.Learner, evictions int) placer.Snapshot {
 	s := placer.Snapshot{
 		Now: p.clock(), Fleet: f, EvictionsLeft: evictions,
--- a/internal/bench/measurer/pool_test.go
+++ b/internal/bench/measurer/pool_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-func TestRunsKeepTheBounds(t *testing.T) {
-	// A run over the whole hour, a zone leaving and returning in it: no start
-	// exceeds a VM or goes to the zone that is out, and each task that arrived
-	// is completed, on a VM or in the queue once.
+func TestRunsRespectCapacityAndZones(t *testing.T) {
+	// In a run over the whole hour, with one zone out for a part of it, no start
+	// exceeds the capacity of a VM or goes to the zone that is out, and each task that
+	// arrived is either completed, or exactly once on a VM or in the queue.
 	for _, v := range variants()[:1] {
 		r := newRunner(users()[0], v, 1)
-		all := len(r.pool.truth.arrivals)
+		arrivalCount := len(r.pool.truth.arrivals)
 		result := r.run()
-		if result.broken != 0 {
-			t.Errorf("%s: %d starts broke a bound", v.name, result.broken)
+		if result.violations != 0 {
+			t.Errorf("%s: %d starts exceeded a VM or went to a zone that was out", v.name, result.violations)
 		}
 		seen := make(map[string]int)
 		for _, q := range r.pool.queue {
@@ -27,17 +27,17 @@
 				t.Errorf("%s: task %s is in %d places, done %v", v.name, id, seen[id], done)
 			}
 		}
-		if len(r.pool.tasks) != all {
-			t.Errorf("%s: %d of %d tasks arrived", v.name, len(r.pool.tasks), all)
+		if len(r.pool.tasks) != arrivalCount {
+			t.Errorf("%s: %d of %d tasks arrived", v.name, len(r.pool.tasks), arrivalCount)
 		}
 	}
 }
 
-func TestRunsRepeat(t *testing.T) {
-	// The same seed gives the same figures, so that a table can be reproduced.
-	one := newRunner(users()[1], variants()[0], 3).run()
-	two := newRunner(users()[1], variants()[0], 3).run()
-	if one.work != two.work || one.p99() != two.p99() || one.evictions != two.evictions {
-		t.Errorf("two runs of a seed: work %v and %v, p99 %v and %v", one.work, two.work, one.p99(), two.p99())
+func TestRunsAreReproducible(t *testing.T) {
+	// Runs with the same seed have the same results, so that tables can be reproduced.
+	first := newRunner(users()[1], variants()[0], 3).run()
+	second := newRunner(users()[1], variants()[0], 3).run()
+	if first.work != second.work || first.p99() != second.p99() || first.evictions != second.evictions {
+		t.Errorf("two runs of a seed: work %v and %v, p99 %v and %v", first.work, second.work, first.p99(), second.p99())
 	}
 }
--- a/internal/bench/measurer/result.go
+++ b/internal/bench/measurer/result.go
@@ -9,10 +9,10 @@
 	"sort"
 )
 
-// baseline is the variant that ratios refer to.
+// baseline is the variant to which ratios refer.
 const baseline = "static-headroom"
 
-// measure is a figure of a run.
+// measure is a metric of a run.
 type measure struct {
 	name  string
 	value func(*tally) float64
@@ -31,17 +31,17 @@
 		{"zone-p99", (*tally).zoneP99, true},
 		{"lost", func(t *tally) float64 { return float64(t.lost) }, false},
 		{"throttles", func(t *tally) float64 { return float64(t.throttles) }, false},
-		{"held", (*tally).heldShare, false},
-		{"slowed", (*tally).slowedShare, false},
+		{"held", (*tally).committedShare, false},
+		{"slowed", (*tally).throttledShare, false},
 		{"worst-class", (*tally).worstClass, false},
-		{"broken", func(t *tally) float64 { return float64(t.broken) }, false},
+		{"broken", func(t *tally) float64 { return float64(t.violations) }, false},
 	}
 }
 
-// write prints a table for each user and writes all runs as CSV, with plots.
-func write(folder string, outcomes []outcome) error {
+// writeResults prints a table for each user and writes the CSV file and the plots.
+func writeResults(folder string, outcomes []outcome) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("make folder of results: %w", err)
+		return fmt.Errorf("create results directory: %w", err)
 	}
 	if err := writeCSV(filepath.Join(folder, "placement.csv"), outcomes); err != nil {
 		return err
@@ -49,7 +49,7 @@
 	for _, u := range users() {
 		rows := summarize(u.name, outcomes)
 		printTable(u.name, rows)
-		if err := plotTrade(filepath.Join(folder, "placement-"+u.name+".svg"), u.name, outcomes); err != nil {
+		if err := plotTradeOff(filepath.Join(folder, "placement-"+u.name+".svg"), u.name, outcomes); err != nil {
 			return err
 		}
 	}
@@ -63,11 +63,11 @@
 	}
 	defer f.Close()
 	w := csv.NewWriter(f)
-	head := []string{"user", "variant", "seed"}
+	header := []string{"user", "variant", "seed"}
 	for _, m := range measures() {
-		head = append(head, m.name)
+		header = append(header, m.name)
 	}
-	_ = w.Write(head)
+	_ = w.Write(header)
 	for _, o := range outcomes {
 		line := []string{o.user, o.variant, fmt.Sprint(o.seed)}
 		for _, m := range measures() {
@@ -79,14 +79,14 @@
 	return w.Error()
 }
 
-// row is the summary of a variant over the seeds.
+// row summarizes the runs of a variant over all seeds.
 type row struct {
 	variant string
 	means   map[string]float64
-	ratios  map[string]spread // of each seed's ratio to the baseline
+	ratios  map[string]spread // to the run of the baseline with the same seed
 }
 
-// spread is the median with the extremes.
+// spread is the median and the extremes of values.
 type spread struct{ low, median, high float64 }
 
 func summarize(user string, outcomes []outcome) []row {
@@ -109,8 +109,8 @@
 					}
 				}
 			}
-			r.means[m.name] = meanOf(values)
-			r.ratios[m.name] = spreadOf(ratios)
+			r.means[m.name] = mean(values)
+			r.ratios[m.name] = newSpread(ratios)
 		}
 		if r.means["work"] > 0 {
 			rows = append(rows, r)
@@ -119,7 +119,7 @@
 	return rows
 }
 
-func meanOf(values []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
 	for _, v := range values {
 		sum += v / float64(len(values))
@@ -127,7 +127,7 @@
 	return sum
 }
 
-func spreadOf(values []float64) spread {
+func newSpread(values []float64) spread {
 	sort.Float64s(values)
 	n := len(values)
 	if n == 0 {
@@ -138,12 +138,12 @@
 
 func printTable(user string, rows []row) {
 	fmt.Printf("\n%s: mean over the seeds; ratio to %s: median (least to greatest)\n\n", user, baseline)
-	head, rule := "| variant |", "|---|"
+	header, separator := "| variant |", "|---|"
 	for _, m := range measures() {
-		head, rule = head+" "+m.name+" |", rule+"---|"
+		header, separator = header+" "+m.name+" |", separator+"---|"
 	}
-	fmt.Println(head)
-	fmt.Println(rule)
+	fmt.Println(header)
+	fmt.Println(separator)
 	for _, r := range rows {
 		line := "| " + r.variant + " |"
 		for _, m := range measures() {
--- a/internal/bench/measurer/run.go
+++ b/internal/bench/measurer/run.go
@@ -10,22 +10,22 @@
 
 // Times of a run.
 const (
-	runLength   = time.Hour
-	warmLength  = 5 * time.Minute // not measured
-	shiftAt     = 20 * time.Minute
-	zoneOutAt   = 30 * time.Minute
-	zoneOffAt   = zoneOutAt + 90*time.Second // what still runs there is lost
-	zoneBackAt  = 40 * time.Minute
-	zoneDone    = 45 * time.Minute // end of the measured time of the zone's absence
-	zoneThatGos = "zone-a"
+	runLength         = time.Hour
+	warmUpLength      = 5 * time.Minute // not measured
+	effectShiftAt     = 20 * time.Minute
+	zoneOutAt         = 30 * time.Minute
+	zoneOffAt         = zoneOutAt + 90*time.Second // tasks that still run there lose their progress
+	zoneBackAt        = 40 * time.Minute
+	zoneMeasuredUntil = 45 * time.Minute // end of the period of the zone measures
+	outageZone        = "zone-a"
 )
 
-// variant is a way of placing that is measured.
+// variant is a placement policy that is measured.
 type variant struct {
 	name   string
 	config placer.Config
-	oracle bool // knows the hidden effects
-	// weights replaces the user's weights, to find the one that suits it.
+	oracle bool // uses the interference of the ground truth
+	// weights replaces the policy weights of the user, to compare different weights.
 	weights *describer.Policy
 }
 
@@ -45,14 +45,14 @@
 	}
 }
 
-// runner drives one pool with one variant.
+// runner runs one pool with one variant.
 type runner struct {
-	pool    *pool
-	variant variant
-	placer  *placer.Placer
-	learner *learner.Learner
-	policy  describer.Policy
-	budget  float64
+	pool           *pool
+	variant        variant
+	placer         *placer.Placer
+	learner        *learner.Learner
+	policy         describer.Policy
+	evictionBudget float64
 }
 
 func newRunner(u user, v variant, seed uint64) *runner {
@@ -71,41 +71,41 @@
 	}
 }
 
-// run runs to the end and returns what was counted.
+// run simulates the whole run and returns its counts.
 func (r *runner) run() *tally {
 	for r.pool.now < runLength {
-		r.zones()
+		r.switchZones()
 		r.pool.advance()
-		r.pool.deliver(r.learner)
-		r.round()
+		r.pool.deliverReports(r.learner)
+		r.planAndApply()
 	}
 	r.pool.finish()
 	return &r.pool.tally
 }
 
-// round plans once and applies the plan.
-func (r *runner) round() {
+// planAndApply plans once and applies the plan.
+func (r *runner) planAndApply() {
 	perMinute := r.policy.EvictionsPerMinute
-	r.budget = min(perMinute, r.budget+perMinute/60)
-	s := r.pool.snapshot(r.pool.user.fleet(r.pool.out, r.policy), r.learner, int(r.budget))
+	r.evictionBudget = min(perMinute, r.evictionBudget+perMinute/60)
+	s := r.pool.snapshot(r.pool.user.fleet(r.pool.zonesOut, r.policy), r.learner, int(r.evictionBudget))
 	if r.variant.oracle {
 		s.Interference = r.pool.trueInterference
 	}
 	plan := r.placer.Plan(s)
-	r.budget -= float64(len(plan.Evictions))
+	r.evictionBudget -= float64(len(plan.Evictions))
 	r.pool.apply(plan)
 }
 
-// zones takes a zone out and lets it return.
-func (r *runner) zones() {
+// switchZones takes a zone out, turns its VMs off, and brings it back.
+func (r *runner) switchZones() {
 	p := r.pool
 	switch p.now {
 	case zoneOutAt:
-		p.out[zoneThatGos] = true
+		p.zonesOut[outageZone] = true
 	case zoneOffAt:
-		p.switchZone(zoneThatGos, false)
+		p.switchZone(outageZone, false)
 	case zoneBackAt:
-		delete(p.out, zoneThatGos)
-		p.switchZone(zoneThatGos, true)
+		delete(p.zonesOut, outageZone)
+		p.switchZone(outageZone, true)
 	}
 }
--- a/internal/bench/measurer/workload.go
+++ b/internal/bench/measurer/workload.go
@@ -10,7 +10,7 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// user is one of the two users with the sizes of the brief.
+// user is one of the two users, with its VM sizes, task classes and policy.
 type user struct {
 	name    string
 	zones   int
@@ -20,16 +20,16 @@
 	policy  describer.Policy
 }
 
-// class is a task class with its share of the work that arrives.
+// class is a task class and its share of the arriving work.
 type class struct {
-	name     string
-	tenant   string
-	needs    describer.Resources
-	runTime  time.Duration // declared
-	work     float64       // share of the processor time that arrives
-	fixed    bool          // can't be checkpointed
-	inWaves  bool
-	standing bool // runs for long beside others
+	name         string
+	tenant       string
+	needs        describer.Resources
+	runTime      time.Duration // declared
+	work         float64       // share of the arriving work, in processor time
+	noCheckpoint bool          // cannot be checkpointed
+	inWaves      bool
+	longRunning  bool
 }
 
 const (
@@ -38,56 +38,56 @@
 	gib        = 1 << 30
 )
 
-func need(millicores, gibs int64) describer.Resources {
+func resources(millicores, gibs int64) describer.Resources {
 	return describer.Resources{Millicores: millicores, MemoryBytes: gibs * gib}
 }
 
-// users returns Caroni, who weighs throughput and evictions, and Sneeuwpeil, who
-// weighs tail latency.
+// users returns Caroni, whose policy weights throughput and evictions, and Sneeuwpeil,
+// whose policy weights tail latency.
 func users() []user {
 	return []user{
 		{
-			name: "caroni", zones: 4, total: need(32000, 125),
-			service: describer.Service{Name: "labels", Tenant: "packhouse", Needs: need(8000, 16), Slots: 8, Connections: 64, LatencyObjective: 400 * time.Millisecond},
+			name: "caroni", zones: 4, total: resources(32000, 125),
+			service: describer.Service{Name: "labels", Tenant: "packhouse", Needs: resources(8000, 16), Slots: 8, Connections: 64, LatencyObjective: 400 * time.Millisecond},
 			classes: []class{
-				{name: "label-batch", tenant: "packhouse", needs: need(2000, 4), runTime: time.Minute, work: 0.3, inWaves: true},
-				{name: "sorting-run", tenant: "sorting", needs: need(4000, 12), runTime: 3 * time.Minute, work: 0.3},
-				{name: "print-watch", tenant: "packhouse", needs: need(500, 1), runTime: 20 * time.Minute, work: 0.05, standing: true},
-				{name: "manifest", tenant: "export", needs: need(1000, 2), runTime: 30 * time.Second, work: 0.1, fixed: true},
-				{name: "photo-check", tenant: "sorting", needs: need(3000, 8), runTime: 2 * time.Minute, work: 0.15, inWaves: true},
-				{name: "trace-index", tenant: "export", needs: need(8000, 24), runTime: 5 * time.Minute, work: 0.1},
+				{name: "label-batch", tenant: "packhouse", needs: resources(2000, 4), runTime: time.Minute, work: 0.3, inWaves: true},
+				{name: "sorting-run", tenant: "sorting", needs: resources(4000, 12), runTime: 3 * time.Minute, work: 0.3},
+				{name: "print-watch", tenant: "packhouse", needs: resources(500, 1), runTime: 20 * time.Minute, work: 0.05, longRunning: true},
+				{name: "manifest", tenant: "export", needs: resources(1000, 2), runTime: 30 * time.Second, work: 0.1, noCheckpoint: true},
+				{name: "photo-check", tenant: "sorting", needs: resources(3000, 8), runTime: 2 * time.Minute, work: 0.15, inWaves: true},
+				{name: "trace-index", tenant: "export", needs: resources(8000, 24), runTime: 5 * time.Minute, work: 0.1},
 			},
 			policy: describer.Policy{TailLatencyWeight: 1, ThroughputWeight: 2, EvictionWeight: 2, EvictionsPerMinute: 6},
 		},
 		{
-			name: "sneeuwpeil", zones: 3, total: need(64000, 250),
-			service: describer.Service{Name: "depth", Tenant: "lookup", Needs: need(16000, 32), Slots: 8, Connections: 64, LatencyObjective: 150 * time.Millisecond},
+			name: "sneeuwpeil", zones: 3, total: resources(64000, 250),
+			service: describer.Service{Name: "depth", Tenant: "lookup", Needs: resources(16000, 32), Slots: 8, Connections: 64, LatencyObjective: 150 * time.Millisecond},
 			classes: []class{
-				{name: "report-render", tenant: "reports", needs: need(4000, 8), runTime: time.Minute, work: 0.3, inWaves: true},
-				{name: "upload-check", tenant: "uploads", needs: need(2000, 4), runTime: 40 * time.Second, work: 0.15, inWaves: true},
-				{name: "forecast", tenant: "reports", needs: need(16000, 64), runTime: 6 * time.Minute, work: 0.2},
-				{name: "map-tiles", tenant: "agencies", needs: need(6000, 16), runTime: 2 * time.Minute, work: 0.2},
-				{name: "archive", tenant: "uploads", needs: need(2000, 16), runTime: 4 * time.Minute, work: 0.1, fixed: true},
-				{name: "feed-watch", tenant: "agencies", needs: need(1000, 2), runTime: 20 * time.Minute, work: 0.05, standing: true},
+				{name: "report-render", tenant: "reports", needs: resources(4000, 8), runTime: time.Minute, work: 0.3, inWaves: true},
+				{name: "upload-check", tenant: "uploads", needs: resources(2000, 4), runTime: 40 * time.Second, work: 0.15, inWaves: true},
+				{name: "forecast", tenant: "reports", needs: resources(16000, 64), runTime: 6 * time.Minute, work: 0.2},
+				{name: "map-tiles", tenant: "agencies", needs: resources(6000, 16), runTime: 2 * time.Minute, work: 0.2},
+				{name: "archive", tenant: "uploads", needs: resources(2000, 16), runTime: 4 * time.Minute, work: 0.1, noCheckpoint: true},
+				{name: "feed-watch", tenant: "agencies", needs: resources(1000, 2), runTime: 20 * time.Minute, work: 0.05, longRunning: true},
 			},
 			policy: describer.Policy{TailLatencyWeight: 4, ThroughputWeight: 1, EvictionWeight: 1, EvictionsPerMinute: 6},
 		},
 	}
 }
 
-// fleet returns the user's fleet, with zones out.
-func (u user) fleet(out map[string]bool, policy describer.Policy) *describer.Fleet {
+// fleet returns the user's fleet with the given zones out.
+func (u user) fleet(zonesOut map[string]bool, policy describer.Policy) *describer.Fleet {
 	c := describer.Config{Name: u.name, Services: []describer.Service{u.service}, Policy: policy}
 	for z := range u.zones {
 		zone := describer.Zone{Name: zoneName(z), State: describer.ZoneIn}
-		if out[zone.Name] {
+		if zonesOut[zone.Name] {
 			zone.State = describer.ZoneOut
 		}
 		c.Zones = append(c.Zones, zone)
 	}
 	seen := make(map[string]bool)
 	for _, cl := range u.classes {
-		c.TaskClasses = append(c.TaskClasses, describer.TaskClass{Name: cl.name, Needs: cl.needs, RunTime: cl.runTime, Checkpoint: !cl.fixed})
+		c.TaskClasses = append(c.TaskClasses, describer.TaskClass{Name: cl.name, Needs: cl.needs, RunTime: cl.runTime, Checkpoint: !cl.noCheckpoint})
 		if !seen[cl.tenant] {
 			seen[cl.tenant] = true
 			c.Tenants = append(c.Tenants, describer.Tenant{Name: cl.tenant, Weight: 1})
@@ -98,80 +98,81 @@
 
 func zoneName(z int) string { return fmt.Sprintf("zone-%c", 'a'+z) }
 
-// truth is what a seed hides from the policy.
+// truth is the ground truth of a seed, which the placement policies do not know.
 type truth struct {
-	effect   []float64 // logarithm of the slowdown by one task of each class at full load
-	later    []float64 // the same after the shift
-	usage    []float64 // used processors, as a factor of the declared ones
-	arrivals []arrival
-	surges   []surge
+	effect        []float64 // logarithm of the slowdown by one task of each class at full load
+	shiftedEffect []float64 // the same after the shift
+	usage         []float64 // used processors relative to the declared ones
+	arrivals      []arrival
+	surges        []surge
 }
 
 // arrival is a task with its true run time.
 type arrival struct {
 	at      time.Duration
 	class   int
-	runTime float64 // seconds of undisturbed work
-	effect  float64 // factor of the effect of its class
+	runTime float64 // seconds of work without throttling and contention
+	effect  float64 // factor on the effect of its class
 }
 
-// surge is a time of higher load on the service.
+// surge is a period of higher load on the service.
 type surge struct{ from, to time.Duration }
 
-// Terms from which the hidden values are drawn.
+// Parameters of the distributions from which the ground truth is drawn.
 const (
-	effectPerFill  = 0.8 // expected sum of the effects on a VM full of an even mix
+	effectOfFullVM = 0.8 // expected sum of the effects on a VM that is fully committed to an even mix of classes
 	effectSpread   = 1.1 // standard deviation of the logarithm between classes
-	taskSpread     = 0.3 // and between the tasks of a class
+	taskSpread     = 0.3 // the same between the tasks of a class
 	usageSpread    = 0.35
 	runTimeSpread  = 0.7
-	demandOverFull = 1.2 // work that arrives, as a factor of the whole pool
-	wavesWork      = 0.5 // share of a wave class that comes in waves
-	waveEvery      = 8 * time.Minute
-	surgeEvery     = 10 * time.Minute
+	demandRatio    = 1.2 // arriving work relative to the capacity of the pool
+	waveShare      = 0.5 // share of the tasks of a class with inWaves that arrive in waves
+	waveInterval   = 8 * time.Minute
+	surgeInterval  = 10 * time.Minute
 	surgeLength    = 90 * time.Second
 )
 
 func drawTruth(u user, seed uint64, length time.Duration) truth {
 	rng := rand.New(rand.NewPCG(seed, 0xbead))
 	tr := truth{}
-	room := u.total.Sub(u.service.Needs)
+	free := u.total.Sub(u.service.Needs)
 	for _, c := range u.classes {
-		share := float64(c.needs.Millicores) / float64(room.Millicores)
+		share := float64(c.needs.Millicores) / float64(free.Millicores)
 		draw := func() float64 {
-			return effectPerFill * share * math.Exp(effectSpread*rng.NormFloat64()-effectSpread*effectSpread/2)
+			return effectOfFullVM * share * math.Exp(effectSpread*rng.NormFloat64()-effectSpread*effectSpread/2)
 		}
 		first := draw()
 		then := first
 		if rng.Float64() < 1.0/3 {
 			then = draw()
 		}
-		tr.effect, tr.later = append(tr.effect, first), append(tr.later, then)
+		tr.effect, tr.shiftedEffect = append(tr.effect, first), append(tr.shiftedEffect, then)
 		tr.usage = append(tr.usage, min(2, math.Exp(usageSpread*rng.NormFloat64())))
 	}
 	for i, c := range u.classes {
-		tr.arrivals = append(tr.arrivals, arrivalsOf(rng, u, i, c, length)...)
+		tr.arrivals = append(tr.arrivals, drawArrivals(rng, u, i, c, length)...)
 	}
 	sort.SliceStable(tr.arrivals, func(i, j int) bool { return tr.arrivals[i].at < tr.arrivals[j].at })
-	for at := time.Duration(rng.Int64N(int64(surgeEvery))); at < length; at += surgeEvery/2 + time.Duration(rng.Int64N(int64(surgeEvery))) {
+	for at := time.Duration(rng.Int64N(int64(surgeInterval))); at < length; at += surgeInterval/2 + time.Duration(rng.Int64N(int64(surgeInterval))) {
 		tr.surges = append(tr.surges, surge{at, at + surgeLength})
 	}
 	return tr
 }
 
-// arrivalsOf draws the tasks of a class: some at random, some in waves.
-func arrivalsOf(rng *rand.Rand, u user, index int, c class, length time.Duration) []arrival {
-	room := float64(vmCount) * float64(u.total.Millicores-u.service.Needs.Millicores)
+// drawArrivals draws the tasks of a class. They arrive at random times or, with inWaves,
+// partly in waves.
+func drawArrivals(rng *rand.Rand, u user, index int, c class, length time.Duration) []arrival {
+	free := float64(vmCount) * float64(u.total.Millicores-u.service.Needs.Millicores)
 	perTask := float64(c.needs.Millicores) * c.runTime.Seconds()
-	n := int(demandOverFull * room * c.work * length.Seconds() / perTask)
+	n := int(demandRatio * free * c.work * length.Seconds() / perTask)
 	factor := math.Exp(runTimeSpread*rng.NormFloat64()/2 - runTimeSpread*runTimeSpread/8)
-	waves := int(length / waveEvery)
-	offset := time.Duration(rng.Int64N(int64(waveEvery)))
+	waves := int(length / waveInterval)
+	offset := time.Duration(rng.Int64N(int64(waveInterval)))
 	var list []arrival
 	for range n {
 		at := time.Duration(rng.Int64N(int64(length)))
-		if c.inWaves && rng.Float64() < wavesWork {
-			at = offset + time.Duration(rng.IntN(waves))*waveEvery + time.Duration(rng.Int64N(int64(20*time.Second)))
+		if c.inWaves && rng.Float64() < waveShare {
+			at = offset + time.Duration(rng.IntN(waves))*waveInterval + time.Duration(rng.Int64N(int64(20*time.Second)))
 		}
 		list = append(list, arrival{
 			at: at, class: index, effect: math.Exp(taskSpread * rng.NormFloat64()),
