--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -32,7 +32,8 @@
 
 // handle registers an order. do runs with the lock held, after tasks were advanced to
 // the present. With the fault late-ms, a delayable order gets no answer and is executed
-// after the delay. Then too it is refused if it names another incarnation of the executor.
+// after the delay. An order that names another incarnation of the executor is refused,
+// also after a delay.
 func handle[C any](e *Executor, path string, delayable bool, do func(C) (int, any)) {
 	e.mux.HandleFunc("POST "+path, func(rw http.ResponseWriter, r *http.Request) {
 		var c C
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -79,7 +79,7 @@
 	stopAt   time.Time // when a stop completes; zero: not being stopped
 }
 
-// Faults are the faults in force.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	FailAll      bool  `json:"fail-all"`
 	Refuse       bool  `json:"refuse"`         // refuse all starts; they have no effect
--- a/internal/standin/storer/faults.go
+++ b/internal/standin/storer/faults.go
@@ -9,7 +9,7 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// Faults are the faults in force.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	Down        bool    `json:"down"`         // refuse every call with 503
 	PauseLeases bool    `json:"pause-leases"` // with Down: leases do not expire meanwhile and keep their remaining time
--- a/internal/standin/storer/storer_test.go
+++ b/internal/standin/storer/storer_test.go
@@ -94,7 +94,7 @@
 }
 
 // The service refuses every call for longer than a lease, and leases are paused
-// meanwhile. The lease still exists afterwards and expires only then.
+// meanwhile. The lease still exists after the outage and then expires as usual.
 func TestPausedLeaseSurvivesOutage(t *testing.T) {
 	ctx := context.Background()
 	s, k := start(t, storer.Config{})
--- a/internal/standin/worker/calls.go
+++ b/internal/standin/worker/calls.go
@@ -10,7 +10,7 @@
 	"bamboospread/internal/worker/driver"
 )
 
-// Faults are the faults in force.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	FailAll      bool  `json:"fail-all"`      // fail every task shortly after its start
 	Refuse       bool  `json:"refuse"`        // refuse every start with 503
