--- a/tests/integration/control_faults_test.go
+++ b/tests/integration/control_faults_test.go
@@ -35,7 +35,7 @@
 	}}
 	ownerCutFromStore = cellFault{"owner cut from the store, agents still reach it", func(r *trial) {
 		e := r.Entries[r.ownerIndex()]
-		way := []proxy.Way{proxy.ToServer, proxy.ToClient, proxy.BothWays}[r.draw(3)]
+		way := []proxy.Direction{proxy.ToServer, proxy.ToClient, proxy.BothDirections}[r.draw(3)]
 		e.StoreLink.Set(proxy.Faults{Cut: way})
 		time.Sleep(pastLease + time.Second)
 		e.StoreLink.Reset()
@@ -60,24 +60,24 @@
 	ownerIslanded = cellFault{"old owner and one VM reach only each other", func(r *trial) {
 		old := r.ownerIndex()
 		vm := r.takeAway()
-		r.Entries[old].StoreLink.Set(proxy.Faults{Cut: proxy.BothWays})
+		r.Entries[old].StoreLink.Set(proxy.Faults{Cut: proxy.BothDirections})
 		for i, e := range r.Entries {
 			if i != old {
-				e.RPCLink.SetFor(vm.Agent.Name, proxy.Faults{Cut: proxy.BothWays})
-				e.RPCLink.SetFor(r.Entries[old].Name, proxy.Faults{Cut: proxy.BothWays})
-				r.Entries[old].RPCLink.SetFor(e.Name, proxy.Faults{Cut: proxy.BothWays})
+				e.RPCLink.SetFor(vm.Agent.Name, proxy.Faults{Cut: proxy.BothDirections})
+				e.RPCLink.SetFor(r.Entries[old].Name, proxy.Faults{Cut: proxy.BothDirections})
+				r.Entries[old].RPCLink.SetFor(e.Name, proxy.Faults{Cut: proxy.BothDirections})
 			}
 		}
 		// The successor waits the outage lease out before it restarts the
 		// VM's tasks; the cut lasts until well after that.
 		time.Sleep(testOwnerLease + testOutageLease + 4*time.Second)
 	}}
-	vmCut       = cutVM("VM unreachable but alive", proxy.BothWays)
+	vmCut       = cutVM("VM unreachable but alive", proxy.BothDirections)
 	vmSendsOnly = cutVM("answers to a VM are cut", proxy.ToClient)
 	vmHearsOnly = cutVM("what a VM sends is cut", proxy.ToServer)
 	vmHeld      = cellFault{"polls and answers held back, then delivered", func(r *trial) {
 		vm := r.takeAway()
-		r.CutAgent(vm, proxy.Faults{Hold: proxy.BothWays})
+		r.CutAgent(vm, proxy.Faults{Hold: proxy.BothDirections})
 		time.Sleep(awayFor)
 		r.CutAgent(vm, proxy.Faults{})
 		time.Sleep(time.Second)
@@ -107,7 +107,7 @@
 	}}
 )
 
-func cutVM(name string, way proxy.Way) cellFault {
+func cutVM(name string, way proxy.Direction) cellFault {
 	return cellFault{name, func(r *trial) {
 		vm := r.takeAway()
 		r.CutAgent(vm, proxy.Faults{Cut: way})
--- a/tests/integration/fleet_zone_test.go
+++ b/tests/integration/fleet_zone_test.go
@@ -103,7 +103,7 @@
 			time.Sleep(1200 * time.Millisecond) // the last poll is answered, with nothing
 			z.load()
 			time.Sleep(200 * time.Millisecond)
-			z.owner.StoreLink.Set(proxy.Faults{Cut: proxy.BothWays})
+			z.owner.StoreLink.Set(proxy.Faults{Cut: proxy.BothDirections})
 			z.owner.RPCLink.SetFor(z.other.Name, proxy.Faults{Refuse: true})
 			z.other.RPCLink.SetFor(z.owner.Name, proxy.Faults{Refuse: true})
 		},
--- a/tests/integration/job_cancel_test.go
+++ b/tests/integration/job_cancel_test.go
@@ -46,7 +46,7 @@
 		}},
 		{"sessions break with the stop not yet read", func(r *jobTrial, jobs []string) {
 			for _, vm := range r.JobVMs {
-				r.CutJobAgent(vm, proxy.Faults{Cut: proxy.BothWays})
+				r.CutJobAgent(vm, proxy.Faults{Cut: proxy.BothDirections})
 			}
 			r.cancel(jobs)
 			time.Sleep(orderTime)
--- a/tests/integration/job_faults_test.go
+++ b/tests/integration/job_faults_test.go
@@ -70,7 +70,7 @@
 		vm.Agent.Resume()
 	}},
 	{"VM cut off past its grant", func(ctx context.Context, r *jobTrial) {
-		r.CutJobAgent(r.JobVMs[0], proxy.Faults{Cut: proxy.BothWays})
+		r.CutJobAgent(r.JobVMs[0], proxy.Faults{Cut: proxy.BothDirections})
 		wait(ctx, 7*time.Second)
 		r.CutJobAgent(r.JobVMs[0], proxy.Faults{})
 	}},
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -57,7 +57,7 @@
 		{"freeze entry", func(b *requestBed, random *rand.Rand) { b.Entries[b.anyEntry(random)].Pause() }, (*requestBed).resumeAll},
 		{"freeze agent", func(b *requestBed, random *rand.Rand) { b.VMs[b.anyVM(random)].Agent.Pause() }, (*requestBed).resumeAll},
 		{"freeze upstream", func(b *requestBed, random *rand.Rand) { b.VMs[b.anyVM(random)].Upstream.Pause() }, (*requestBed).resumeAll},
-		link("cut agent", proxy.Faults{Cut: proxy.BothWays}),
+		link("cut agent", proxy.Faults{Cut: proxy.BothDirections}),
 		link("cut agent's answers", proxy.Faults{Cut: proxy.ToServer}),
 		link("reset agent's links", proxy.Faults{Refuse: true}),
 		link("hold agent's requests", proxy.Faults{Hold: proxy.ToClient}),
--- a/tests/proxy/change_test.go
+++ b/tests/proxy/fault_change_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// openLink returns both ends of a connection through a proxy.
+// openLink returns a proxy and both ends of a connection through it.
 func openLink(t *testing.T) (p *Proxy, client, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return p, client, server
 }
 
-// sendForever sends until the connection ends.
+// sendForever writes until the connection fails.
 func sendForever(c net.Conn) {
 	data := make([]byte, 100)
 	for {
@@ -40,7 +40,7 @@
 	}
 }
 
-// drain reads until nothing comes for a while and returns how much came.
+// drain reads until nothing arrives for 300 ms and returns the number of bytes read.
 func drain(t *testing.T, c net.Conn) int64 {
 	t.Helper()
 	buffer, total := make([]byte, chunkBytes), int64(0)
@@ -54,9 +54,9 @@
 	}
 }
 
-// Bytes that are on their way through the proxy when a link is cut must not pass
-// after the call: a test would meet an answer over a link that it has cut.
-func TestNoByteIsForwardedAfterAChange(t *testing.T) {
+// Bytes inside the proxy must not be forwarded once the call that cuts or holds the
+// link has returned: a test would receive an answer over a link that it has cut.
+func TestNoByteIsForwardedAfterFaultChange(t *testing.T) {
 	t.Run("stream", func(t *testing.T) {
 		p, client, server := openLink(t)
 		go sendForever(client)
@@ -72,10 +72,10 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	t.Run("write without room", func(t *testing.T) {
+	t.Run("blocked write", func(t *testing.T) {
 		p, client, server := openLink(t)
 		go sendForever(client)
-		for before, now := int64(-1), int64(0); before != now; { // until the way is full
+		for before, now := int64(-1), int64(0); before != now; { // until all buffers are full
 			before = now
 			time.Sleep(200 * time.Millisecond)
 			now, _ = p.CountBytes()
@@ -100,9 +100,9 @@
 	})
 }
 
-// Bytes that a low rate or a delay holds back must not wait longer than the fault
-// lasts: the link would still be broken after the test has healed it.
-func TestNoByteWaitsAfterTheFault(t *testing.T) {
+// Bytes that a low rate or a delay holds back must be delivered once the fault ends:
+// otherwise the link would still be faulty after the test has reset it.
+func TestDelayedBytesAreDeliveredOnReset(t *testing.T) {
 	for name, f := range map[string]Faults{"low rate": {BytesPerSec: 1}, "delay": {Delay: 10 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			p, client, server := openLink(t)
@@ -113,7 +113,7 @@
 			time.Sleep(50 * time.Millisecond)
 			p.Reset()
 			if got := drain(t, server); got != 10 {
-				t.Errorf("%d of 10 bytes came", got)
+				t.Errorf("%d of 10 bytes arrived", got)
 			}
 		})
 	}
--- a/tests/proxy/proxy.go
+++ b/tests/proxy/proxy.go
@@ -1,7 +1,7 @@
 // Package proxy is a TCP proxy that injects faults between the processes of a
-// test: it cuts one way or both, delays, limits the rate, holds bytes back, and
-// drops answers, and can be changed at any time. docs/DESIGN.md tells why it is
-// our own.
+// test: it discards bytes in one direction or both, delays them, limits the rate,
+// holds bytes back, and drops answers. Faults can be changed at any time.
+// docs/DESIGN.md explains why the project has its own proxy.
 package proxy
 
 import (
@@ -15,65 +15,65 @@
 	"time"
 )
 
-// Way is a set of directions of a connection.
-type Way int
+// Direction is a set of directions of a connection.
+type Direction int
 
-// Ways through the proxy.
+// Directions through the proxy.
 const (
-	ToServer Way = 1 << iota
+	ToServer Direction = 1 << iota
 	ToClient
-	BothWays = ToServer | ToClient
+	BothDirections = ToServer | ToClient
 )
 
-// chunkBytes is the most that is read at once.
+// chunkBytes is the maximum size of one read.
 const chunkBytes = 32 << 10
 
-// Faults are the faults in force. The zero value has none.
+// Faults are the faults in effect. The zero value has none.
 type Faults struct {
 	Refuse      bool          // reset all connections, also new ones
-	Cut         Way           // swallow bytes in these directions, as a broken link does
-	Hold        Way           // keep bytes back and deliver them when this is unset
-	DropAnswers bool          // let requests through and reset the connection when the answer comes
-	Delay       time.Duration // each way
-	BytesPerSec int           // each way and connection; 0: no limit
+	Cut         Direction     // discard bytes in these directions, as a broken link does
+	Hold        Direction     // hold bytes back and deliver them when this is unset
+	DropAnswers bool          // forward requests and reset the connection when the answer arrives
+	Delay       time.Duration // in each direction
+	BytesPerSec int           // per direction and connection; 0: no limit
 }
 
 // Config holds the settings of a Proxy.
 type Config struct {
 	Target string // host:port
-	// Classify, if set, names the party that opened a connection, so that
-	// faults can be set for one party alone.
+	// Classify, if set, returns the class of a client connection, so that faults
+	// can be set for one class only.
 	Classify func(net.Conn) string
 }
 
 // Proxy forwards connections to one target.
 type Proxy struct {
-	config   Config
-	listener net.Listener
-	changing sync.Mutex // held by a change of the faults until it is in effect
+	config      Config
+	listener    net.Listener
+	changeMutex sync.Mutex // held while a change of the faults takes effect
 
 	mu      sync.Mutex
 	all     Faults
-	byClass map[string]Faults // goes before all
+	byClass map[string]Faults // overrides all
 	changed chan struct{}     // closed and replaced when faults change
 	links   map[*link]bool
 
 	toServer, toClient atomic.Int64 // bytes delivered
 }
 
-// link is one connection with both its ends.
+// link is one proxied connection.
 type link struct {
 	class          string
 	client, server net.Conn
-	torn           atomic.Bool // bytes were swallowed: it can't go on when the fault ends
-	// gates are held, one each way, from a look at the faults to the end of what
-	// they let pass.
-	gates [2]sync.Mutex
+	lostBytes      atomic.Bool // bytes were discarded, so the connection is reset when the fault ends
+	// writeLocks, one per direction, are held from reading the faults in effect until
+	// the bytes that they allow are written.
+	writeLocks [2]sync.Mutex
 }
 
-func (l *link) gate(way Way) *sync.Mutex { return &l.gates[way-ToServer] }
+func (l *link) writeLock(direction Direction) *sync.Mutex { return &l.writeLocks[direction-ToServer] }
 
-// New returns a proxy to a target that listens on a port of its own.
+// New starts a proxy for a target; it listens on a free loopback port.
 func New(c Config) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,18 +87,18 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set replaces the faults in force for all but the classes that have their own.
-// Connections that lost bytes are reset once the link is whole again. When it
-// returns, as with SetFor and Reset, no byte is forwarded under the earlier faults;
-// bytes that the kernel has taken already still reach their end.
+// Set replaces the faults of all connections except those whose class has its own.
+// Connections that lost bytes are reset once nothing is cut any more. After Set,
+// SetFor or Reset has returned, no byte is forwarded under the earlier faults; bytes
+// that the kernel has already accepted are still delivered.
 func (p *Proxy) Set(f Faults) {
 	p.change(func() { p.all = f })
 }
 
-// SetFor replaces the faults in force for the connections of one class.
+// SetFor replaces the faults of the connections of one class.
 func (p *Proxy) SetFor(class string, f Faults) {
 	p.change(func() { p.byClass[class] = f })
 }
@@ -109,8 +109,8 @@
 }
 
 func (p *Proxy) change(set func()) {
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	p.changeMutex.Lock()
+	defer p.changeMutex.Unlock()
 	p.mu.Lock()
 	set()
 	close(p.changed)
@@ -118,28 +118,29 @@
 	links := slices.Collect(maps.Keys(p.links))
 	p.mu.Unlock()
 	for _, l := range links {
-		l.settle(ToServer, l.server)
-		l.settle(ToClient, l.client)
+		l.quiesce(ToServer, l.server)
+		l.quiesce(ToClient, l.client)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
-		if f := p.faultsLocked(l.class); f.Refuse || (f.Cut == 0 && l.torn.Load()) {
+		if f := p.faultsLocked(l.class); f.Refuse || (f.Cut == 0 && l.lostBytes.Load()) {
 			l.reset()
 		}
 	}
 }
 
-// settle waits until nothing passes one way that earlier faults allowed. A write
-// for which the peer has no room is broken off and goes on under the new faults.
-func (l *link) settle(way Way, to net.Conn) {
-	gate := l.gate(way)
-	if !gate.TryLock() {
+// quiesce waits until no write that earlier faults allowed is in progress in one
+// direction. A write that blocks because the peer's buffers are full is interrupted;
+// the rest of its bytes are subject to the new faults.
+func (l *link) quiesce(direction Direction, to net.Conn) {
+	writeLock := l.writeLock(direction)
+	if !writeLock.TryLock() {
 		_ = to.SetWriteDeadline(time.Now())
-		gate.Lock()
+		writeLock.Lock()
 		_ = to.SetWriteDeadline(time.Time{})
 	}
-	gate.Unlock()
+	writeLock.Unlock()
 }
 
 func (p *Proxy) faultsLocked(class string) Faults {
@@ -149,15 +150,15 @@
 	return p.all
 }
 
-// look returns the faults in force and a channel that is closed at the next
-// change.
-func (p *Proxy) look(class string) (Faults, <-chan struct{}) {
+// currentFaults returns the faults in effect and a channel that is closed at the
+// next change.
+func (p *Proxy) currentFaults(class string) (Faults, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faultsLocked(class), p.changed
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.change(func() { p.all, p.byClass = Faults{Refuse: true}, nil })
@@ -190,17 +191,17 @@
 	if refuse {
 		l.reset()
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.pump(l, l.client, l.server, ToServer) })
-	both.Go(func() { p.pump(l, l.server, l.client, ToClient) })
-	both.Wait()
+	var pumps sync.WaitGroup
+	pumps.Go(func() { p.pump(l, l.client, l.server, ToServer) })
+	pumps.Go(func() { p.pump(l, l.server, l.client, ToClient) })
+	pumps.Wait()
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
 }
 
-// reset ends both connections with a RST, so that no end takes what it has read
-// for all that was sent.
+// reset closes both connections with a RST, so that neither end treats the bytes
+// that it has read as the complete stream.
 func (l *link) reset() {
 	for _, c := range []net.Conn{l.client, l.server} {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -215,9 +216,9 @@
 	arrived time.Time
 }
 
-// pump carries bytes one way. Reading goes on while earlier bytes are delayed,
-// so that a delay is not also a limit on the rate.
-func (p *Proxy) pump(l *link, from, to net.Conn, way Way) {
+// pump forwards bytes in one direction. Reading continues while earlier bytes are
+// delayed, so that a delay does not also limit the rate.
+func (p *Proxy) pump(l *link, from, to net.Conn, direction Direction) {
 	chunks := make(chan chunk, 64)
 	go func() {
 		defer close(chunks)
@@ -233,32 +234,32 @@
 		}
 	}()
 	for c := range chunks {
-		if !p.deliver(l, to, way, c) {
+		if !p.deliver(l, to, direction, c) {
 			l.reset()
 		}
 	}
-	f := p.enter(l, way, func(Faults) time.Time { return time.Time{} })
-	defer l.gate(way).Unlock()
-	if f.Cut&way != 0 || l.torn.Load() {
-		return // the other end must not learn over a cut link that this one closed
+	f := p.waitAndLock(l, direction, func(Faults) time.Time { return time.Time{} })
+	defer l.writeLock(direction).Unlock()
+	if f.Cut&direction != 0 || l.lostBytes.Load() {
+		return // a cut link must not forward the end of the stream
 	}
 	if t, ok := to.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
 }
 
-// enter waits until nothing holds the way and what is to pass is due, locks the
-// way's gate and returns the faults in force.
-func (p *Proxy) enter(l *link, way Way, due func(Faults) time.Time) Faults {
+// waitAndLock waits until the direction is not held and due has passed, acquires the
+// direction's write lock and returns the faults in effect.
+func (p *Proxy) waitAndLock(l *link, direction Direction, due func(Faults) time.Time) Faults {
 	for {
-		l.gate(way).Lock()
-		f, changed := p.look(l.class)
+		l.writeLock(direction).Lock()
+		f, changed := p.currentFaults(l.class)
 		wait := time.Until(due(f))
-		if f.Hold&way == 0 && wait <= 0 {
+		if f.Hold&direction == 0 && wait <= 0 {
 			return f
 		}
-		l.gate(way).Unlock()
-		if f.Hold&way != 0 {
+		l.writeLock(direction).Unlock()
+		if f.Hold&direction != 0 {
 			<-changed
 			continue
 		}
@@ -269,14 +270,14 @@
 	}
 }
 
-// deliver forwards or swallows bytes as the faults in force tell, and returns
-// whether the connection may go on.
-func (p *Proxy) deliver(l *link, to net.Conn, way Way, c chunk) bool {
-	begun := time.Now()
+// deliver forwards or discards bytes according to the faults in effect, and returns
+// whether the connection can continue.
+func (p *Proxy) deliver(l *link, to net.Conn, direction Direction, c chunk) bool {
+	startedAt := time.Now()
 	for len(c.data) > 0 {
-		f := p.enter(l, way, func(f Faults) time.Time { return f.due(c, begun) })
-		n, ok := p.pass(l, to, way, f, c.data)
-		l.gate(way).Unlock()
+		f := p.waitAndLock(l, direction, func(f Faults) time.Time { return f.due(c, startedAt) })
+		n, ok := p.forward(l, to, direction, f, c.data)
+		l.writeLock(direction).Unlock()
 		if !ok {
 			return false
 		}
@@ -285,31 +286,33 @@
 	return true
 }
 
-// due returns when bytes that are the next to go since begun may pass.
-func (f Faults) due(c chunk, begun time.Time) time.Time {
-	if delayed := c.arrived.Add(f.Delay); delayed.After(begun) {
-		begun = delayed
+// due returns when a chunk that became the next to forward at startedAt may be
+// forwarded.
+func (f Faults) due(c chunk, startedAt time.Time) time.Time {
+	if delayed := c.arrived.Add(f.Delay); delayed.After(startedAt) {
+		startedAt = delayed
 	}
 	if f.BytesPerSec > 0 {
-		begun = begun.Add(time.Duration(len(c.data)) * time.Second / time.Duration(f.BytesPerSec))
+		startedAt = startedAt.Add(time.Duration(len(c.data)) * time.Second / time.Duration(f.BytesPerSec))
 	}
-	return begun
+	return startedAt
 }
 
-// pass returns how many bytes are done with: fewer than given when the faults
-// change meanwhile. The way's gate is locked.
-func (p *Proxy) pass(l *link, to net.Conn, way Way, f Faults, data []byte) (n int, ok bool) {
+// forward writes or discards bytes and returns how many were handled, which is less
+// than len(data) when a change of the faults interrupts the write. The caller holds
+// the direction's write lock.
+func (p *Proxy) forward(l *link, to net.Conn, direction Direction, f Faults, data []byte) (n int, ok bool) {
 	switch {
-	case f.Refuse, f.DropAnswers && way == ToClient:
+	case f.Refuse, f.DropAnswers && direction == ToClient:
 		return 0, false
-	case f.Cut&way != 0:
-		l.torn.Store(true)
+	case f.Cut&direction != 0:
+		l.lostBytes.Store(true)
 		return len(data), true
-	case l.torn.Load():
+	case l.lostBytes.Load():
 		return 0, false
 	}
 	n, err := to.Write(data)
-	if way == ToServer {
+	if direction == ToServer {
 		p.toServer.Add(int64(n))
 	} else {
 		p.toClient.Add(int64(n))
@@ -317,7 +320,7 @@
 	return n, err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// CountBytes returns how many bytes were delivered so far, each way.
+// CountBytes returns how many bytes were delivered so far in each direction.
 func (p *Proxy) CountBytes() (toServer, toClient int64) {
 	return p.toServer.Load(), p.toClient.Load()
 }
--- a/tests/proxy/proxy_test.go
+++ b/tests/proxy/proxy_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// echo answers each line with itself and reports the lines that it read.
+// echo starts a server that answers each line with itself and sends the lines that it
+// read on the returned channel.
 func echo(t *testing.T) (string, chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +38,7 @@
 	return l.Addr().String(), read
 }
 
-func ask(c net.Conn, line string) (string, error) {
+func roundTrip(c net.Conn, line string) (string, error) {
 	if _, err := fmt.Fprintln(c, line); err != nil {
 		return "", err
 	}
@@ -53,11 +54,11 @@
 		faults   Faults
 		reaches  bool // the server reads the line
 		answered bool
-		after    bool // the connection works after the fault
+		after    bool // the connection works after the fault has ended
 	}{
 		{"none", Faults{}, true, true, true},
 		{"refuse", Faults{Refuse: true}, false, false, false},
-		{"cut both ways", Faults{Cut: BothWays}, false, false, false},
+		{"cut both ways", Faults{Cut: BothDirections}, false, false, false},
 		{"cut to server", Faults{Cut: ToServer}, false, false, false},
 		{"cut to client", Faults{Cut: ToClient}, true, false, false},
 		{"hold to client", Faults{Hold: ToClient}, true, false, true},
@@ -81,12 +82,12 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			if _, err := ask(conn, "first"); err != nil {
+			if _, err := roundTrip(conn, "first"); err != nil {
 				t.Fatal(err)
 			}
 			<-read
 			p.Set(c.faults)
-			if answer, err := ask(conn, "second"); (answer == "second" && err == nil) != c.answered {
+			if answer, err := roundTrip(conn, "second"); (answer == "second" && err == nil) != c.answered {
 				t.Errorf("answer %q, %v", answer, err)
 			}
 			if reached := len(read) > 0; reached != c.reaches {
@@ -101,7 +102,7 @@
 				t.Errorf("after the fault: %v", err)
 			}
 			if !c.after {
-				if answer, err := ask(conn, "later"); err == nil {
+				if answer, err := roundTrip(conn, "later"); err == nil {
 					t.Errorf("a connection that lost bytes went on and answered %q", answer)
 				}
 			}
@@ -110,7 +111,7 @@
 				t.Fatal(err)
 			}
 			defer fresh.Close()
-			if _, err := ask(fresh, "third"); err != nil {
+			if _, err := roundTrip(fresh, "third"); err != nil {
 				t.Errorf("new connection after the fault: %v", err)
 			}
 		})
--- a/tests/soak/faults_test.go
+++ b/tests/soak/faults_test.go
@@ -77,7 +77,7 @@
 }
 
 var linkFaults = []proxy.Faults{
-	{Delay: 60 * time.Millisecond}, {Delay: 350 * time.Millisecond}, {Refuse: true}, {Cut: proxy.ToServer}, {Cut: proxy.ToClient}, {Cut: proxy.BothWays}, {Hold: proxy.ToServer}, {Hold: proxy.ToClient}, {Hold: proxy.BothWays}, {DropAnswers: true},
+	{Delay: 60 * time.Millisecond}, {Delay: 350 * time.Millisecond}, {Refuse: true}, {Cut: proxy.ToServer}, {Cut: proxy.ToClient}, {Cut: proxy.BothDirections}, {Hold: proxy.ToServer}, {Hold: proxy.ToClient}, {Hold: proxy.BothDirections}, {DropAnswers: true},
 }
 
 // some draws n of all.
