--- a/tests/harness/cluster.go
+++ b/tests/harness/cluster.go
@@ -38,13 +38,14 @@
 	NoVMs        bool
 	ExecutorArgs []string
 	// ExecutorLinks is how many of the JobVMs, the last ones, have a proxy between
-	// agent and executor. The others show an agent that no process listens.
+	// agent and executor. On the others an agent's connection is refused when the
+	// executor does not listen.
 	ExecutorLinks int
 }
 
-// Cluster is a store, entries and VMs as processes, with a proxy before the
-// store for each entry and before the RPC address of each entry. On the latter
-// connections are told apart by the name of the process that opened them.
+// Cluster runs a store, entries and VMs as processes. Each entry reaches the
+// store through a proxy of its own, and each entry's RPC address is behind a
+// proxy that identifies connections by the name of the process that opened them.
 type Cluster struct {
 	Store    *Process
 	StoreURL string
@@ -54,10 +55,10 @@
 	dir      string
 	t        testing.TB
 	mu       sync.Mutex
-	parties  []*Process // those that open connections to entries
+	dialers  []*Process // processes that open connections to entries
 }
 
-// Entry is an entry with its links.
+// Entry is an entry process with its proxies.
 type Entry struct {
 	*Process
 	HTTP      string       // host:port for callers and operators
@@ -65,7 +66,7 @@
 	RPCLink   *proxy.Proxy // from agents and other entries to this one
 }
 
-// VM is a worker, an upstream and an agent.
+// VM consists of a worker, an upstream and an agent process.
 type VM struct {
 	Name, Zone, Rack        string
 	Worker, Upstream, Agent *Process
@@ -119,8 +120,8 @@
 	WaitFor(k.t, readyLimit, url, func(ctx context.Context) error { return checkURL(ctx, url) })
 }
 
-// Link returns a proxy that ends with the test.
-func (k *Cluster) Link(c proxy.Config) *proxy.Proxy {
+// StartProxy returns a proxy that is closed when the test ends.
+func (k *Cluster) StartProxy(c proxy.Config) *proxy.Proxy {
 	k.t.Helper()
 	p, err := proxy.New(c)
 	if err != nil {
@@ -133,10 +134,10 @@
 func (k *Cluster) startEntry(c Config, i int, storeAddress string) *Entry {
 	k.t.Helper()
 	name, rpc := fmt.Sprintf("entry-%d", i+1), FreeAddress(k.t)
-	e := &Entry{HTTP: FreeAddress(k.t), StoreLink: k.Link(proxy.Config{Target: storeAddress})}
-	// Finding out the opener takes tens of ms, which only long-lived connections
-	// can bear.
-	e.RPCLink = k.Link(proxy.Config{Target: rpc, Classify: k.nameOfPeer})
+	e := &Entry{HTTP: FreeAddress(k.t), StoreLink: k.StartProxy(proxy.Config{Target: storeAddress})}
+	// Identifying the opener of a connection takes tens of ms, which is acceptable
+	// only for long-lived connections.
+	e.RPCLink = k.StartProxy(proxy.Config{Target: rpc, Classify: k.peerName})
 	var peers []string
 	for _, other := range k.Entries {
 		peers = append(peers, other.RPCLink.Address())
@@ -145,7 +146,7 @@
 		"entry", "--id", name, "--listen", e.HTTP, "--rpc-listen", rpc, "--advertise", e.RPCLink.Address(),
 		"--store-url", "http://" + e.StoreLink.Address(), "--zone", zoneName(i % c.Zones), "--peers", strings.Join(peers, ","),
 	}
-	e.Process = k.startParty(name, append(args, c.EntryArgs...)...)
+	e.Process = k.startDialer(name, append(args, c.EntryArgs...)...)
 	return e
 }
 
@@ -164,7 +165,7 @@
 		"--witness-file", k.witnessFile("tasks", vm.Name),
 	}, c.WorkerArgs...)...)
 	k.wait(vm.WorkerURL + "/control/witness")
-	vm.Agent = k.startParty("agent-"+vm.Name, append([]string{
+	vm.Agent = k.startDialer("agent-"+vm.Name, append([]string{
 		"agent", "--id", "agent-" + vm.Name, "--vm", vm.Name, "--zone", vm.Zone, "--rack", vm.Rack,
 		"--entries", k.Entries[0].RPCLink.Address(), "--worker-url", vm.WorkerURL,
 		"--local-listen", local, "--listen", vm.Admin,
@@ -176,15 +177,16 @@
 	return vm
 }
 
-// CutAgent breaks or restores the links of one VM's agent to all entries.
-func (k *Cluster) CutAgent(vm *VM, f proxy.Faults) {
+// SetAgentFaults sets the faults of the links between one VM's agent and all entries.
+func (k *Cluster) SetAgentFaults(vm *VM, f proxy.Faults) {
 	for _, e := range k.Entries {
 		e.RPCLink.SetFor(vm.Agent.Name, f)
 	}
 }
 
-// Heal ends the faults of all links, of the store, workers and upstreams.
-func (k *Cluster) Heal() {
+// ClearFaults ends the faults of all links and of all stand-ins: store, workers,
+// upstreams and executors.
+func (k *Cluster) ClearFaults() {
 	k.t.Helper()
 	for _, e := range k.Entries {
 		e.StoreLink.Reset()
@@ -209,24 +211,24 @@
 	k.Control(k.StoreURL+"/control/faults", f)
 }
 
-// Control posts faults to a stand-in.
+// Control posts faults or modes to a stand-in.
 func (k *Cluster) Control(url string, body any) {
 	k.t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	a, err := http.Post(url, "application/json", bytes.NewReader(data))
+	resp, err := http.Post(url, "application/json", bytes.NewReader(data))
 	if err != nil {
 		k.t.Fatalf("control %s: %v", url, err)
 	}
-	a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		k.t.Fatalf("control %s: %s", url, a.Status)
+	resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		k.t.Fatalf("control %s: %s", url, resp.Status)
 	}
 }
 
-// Operator returns a client of the operators' interface through all entries.
+// Operator returns a client of the operator API that uses all entries.
 func (k *Cluster) Operator() *requester.Requester {
 	var entries []string
 	for _, e := range k.Entries {
@@ -235,7 +237,7 @@
 	return requester.New(requester.Config{Entries: entries})
 }
 
-// ApplyFleet puts the first fleet text in force.
+// ApplyFleet applies the first fleet text.
 func (k *Cluster) ApplyFleet(text string) {
 	k.t.Helper()
 	o := requester.ApplyOptions{Text: []byte(text), ChangeID: "first"}
@@ -248,22 +250,23 @@
 	return filepath.Join(k.dir, kind+"-"+vm+".jsonl")
 }
 
-// nameOfPeer returns the name of the process at the other end of a connection
-// accepted on the loopback. It finds the socket's inode by its port, and the
-// process that has it open; that one may be too new to be listed.
-func (k *Cluster) nameOfPeer(c net.Conn) string {
+// peerName returns the name of the process that opened a connection accepted on
+// the loopback interface, or an empty string if it is not found. It looks up the
+// inode of the opener's socket by port and then the process that has that inode
+// open. It retries, since a new process may not be in dialers yet.
+func (k *Cluster) peerName(c net.Conn) string {
 	for range 20 {
-		// Read anew each time: the kernel's list may miss a socket while others
-		// come and go.
+		// Looked up again on each try: the kernel's table may miss a socket while
+		// other sockets are opened and closed.
 		inode := inodeOf(c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port)
 		if inode == closedInode {
-			return "" // its opener has closed it; searching on would only take time
+			return "" // the opener has closed it, so no process has the inode
 		}
 		socket := "socket:[" + inode + "]"
 		k.mu.Lock()
-		parties := slices.Clone(k.parties)
+		dialers := slices.Clone(k.dialers)
 		k.mu.Unlock()
-		for _, p := range parties {
+		for _, p := range dialers {
 			dir := fmt.Sprintf("/proc/%d/fd", p.PID())
 			files, _ := os.ReadDir(dir) // none if the process has ended
 			for _, f := range files {
@@ -277,23 +280,24 @@
 	return ""
 }
 
-// startParty starts a process that opens connections to entries.
-func (k *Cluster) startParty(name string, args ...string) *Process {
+// startDialer starts a process that opens connections to entries.
+func (k *Cluster) startDialer(name string, args ...string) *Process {
 	k.t.Helper()
 	p := StartProcess(k.t, name, args...)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.parties = append(k.parties, p)
+	k.dialers = append(k.dialers, p)
 	return p
 }
 
-// closedInode is what the kernel lists for a socket that its process has closed.
+// closedInode is the inode that the kernel lists for a socket that its process has closed.
 const closedInode = "0"
 
-// socketTableAge is how old the list of sockets may be. All tests share it: read
-// for each connection by itself, the list, which holds thousands of closed sockets
-// while many tests run, took more time than the tests (11 GB and 4 processors).
-const socketTableAge = 10 * time.Millisecond
+// maxSocketTableAge is how long a read of the kernel's socket table is reused. All
+// tests share it: the table holds thousands of closed sockets while many tests run,
+// and reading it for each connection took more time than the tests (11 GB and 4
+// processors).
+const maxSocketTableAge = 10 * time.Millisecond
 
 var sockets struct {
 	sync.Mutex
@@ -301,15 +305,16 @@
 	inodes map[string]string // by local and remote address as the kernel writes them
 }
 
-// inodeOf returns the inode of the socket at the opener's end of a connection. Both
-// ports count: a closed connection from the same port to another one is listed too.
-func inodeOf(from, to int) string {
+// inodeOf returns the inode of the socket at the opener's end of a connection. It
+// matches both ports, since a closed connection from the same port to another one
+// is listed too.
+func inodeOf(openerPort, acceptorPort int) string {
 	sockets.Lock()
 	defer sockets.Unlock()
-	if time.Since(sockets.readAt) > socketTableAge {
+	if time.Since(sockets.readAt) > maxSocketTableAge {
 		sockets.inodes, sockets.readAt = readSockets(), time.Now()
 	}
-	return sockets.inodes[fmt.Sprintf("0100007F:%04X 0100007F:%04X", from, to)]
+	return sockets.inodes[fmt.Sprintf("0100007F:%04X 0100007F:%04X", openerPort, acceptorPort)]
 }
 
 func readSockets() map[string]string {
--- a/tests/harness/fleet.go
+++ b/tests/harness/fleet.go
@@ -1,7 +1,7 @@
 package harness
 
-// FleetText is a fleet of three zones with one service and three classes of
-// tasks. Times are short: a label batch declares 0.5 s, a sorting run 3 s.
+// FleetText describes a fleet of three zones with one service and three task
+// classes. Run times are short: a label batch declares 0.5 s, a sorting run 3 s.
 const FleetText = `fleet: test
 availability-zones:
   - {name: zone-a, state: in}
--- a/tests/harness/jobs.go
+++ b/tests/harness/jobs.go
@@ -8,12 +8,12 @@
 	"bamboospread/tests/proxy"
 )
 
-// JobVM is an executor and an agent.
+// JobVM consists of an executor and an agent process.
 type JobVM struct {
 	Name, Zone, Rack string
 	Executor, Agent  *Process
-	ExecutorURL      string       // without the link
-	ExecutorLink     *proxy.Proxy // from the agent; nil: none
+	ExecutorURL      string       // direct, not through ExecutorLink
+	ExecutorLink     *proxy.Proxy // from the agent to the executor; nil: no proxy
 }
 
 func (k *Cluster) startJobVM(c Config, i int) *JobVM {
@@ -25,23 +25,23 @@
 		"standin", "executor", "--listen", address, "--vm", vm.Name, "--witness-file", k.witnessFile("jobs", vm.Name),
 	}, c.ExecutorArgs...)...)
 	k.wait(vm.ExecutorURL + "/control/witness")
-	agentsURL := vm.ExecutorURL
+	executorURL := vm.ExecutorURL
 	if i >= c.JobVMs-c.ExecutorLinks {
-		vm.ExecutorLink = k.Link(proxy.Config{Target: address})
-		agentsURL = "http://" + vm.ExecutorLink.Address()
+		vm.ExecutorLink = k.StartProxy(proxy.Config{Target: address})
+		executorURL = "http://" + vm.ExecutorLink.Address()
 	}
 	admin := FreeAddress(k.t)
-	vm.Agent = k.startParty("agent-"+vm.Name, append([]string{
+	vm.Agent = k.startDialer("agent-"+vm.Name, append([]string{
 		"agent", "--id", "agent-" + vm.Name, "--vm", vm.Name, "--zone", vm.Zone, "--rack", vm.Rack,
-		"--entries", k.entryAddresses(), "--executor-url", agentsURL,
+		"--entries", k.entryAddresses(), "--executor-url", executorURL,
 		"--local-listen", FreeAddress(k.t), "--listen", admin,
 	}, c.AgentArgs...)...)
 	k.wait("http://" + admin + "/readyz")
 	return vm
 }
 
-// entryAddresses are the RPC addresses of all entries, so that an agent finds the
-// owner also while the first entry is down.
+// entryAddresses returns the RPC addresses of all entries, so that an agent finds
+// the owner even while the first entry is down.
 func (k *Cluster) entryAddresses() string {
 	text := ""
 	for i, e := range k.Entries {
@@ -53,14 +53,15 @@
 	return text
 }
 
-// CutJobAgent breaks or restores the links of one VM's agent to all entries.
-func (k *Cluster) CutJobAgent(vm *JobVM, f proxy.Faults) {
+// SetJobAgentFaults sets the faults of the links between one job VM's agent and all
+// entries.
+func (k *Cluster) SetJobAgentFaults(vm *JobVM, f proxy.Faults) {
 	for _, e := range k.Entries {
 		e.RPCLink.SetFor(vm.Agent.Name, f)
 	}
 }
 
-// JobEvents returns what all executors recorded, in the order of time.
+// JobEvents returns the events that all executors recorded, ordered by time.
 func (k *Cluster) JobEvents() []executor.Event {
 	k.t.Helper()
 	var all []executor.Event
--- a/tests/harness/pause_test.go
+++ b/tests/harness/pause_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// busyFile names, to a process that is this test's program, the file in which
-	// its threads count.
+	// busyFile is the environment variable that makes the test binary run as the
+	// busy process; its value is the file in which the threads count.
 	busyFile    = "BAMBOOSPREAD_TEST_BUSY_FILE"
 	busyThreads = 32
 	busyTime    = 5 * time.Millisecond
@@ -49,7 +49,7 @@
 	select {}
 }
 
-// mapCounts maps counts that this process shares with the one that counts.
+// mapCounts maps the counters that the test shares with the busy process.
 func mapCounts(path string) (*busyCounts, error) {
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return all
 }
 
-// startBusy starts a process with many busy threads and waits until all count.
+// startBusy starts a process with many busy threads and waits until all of them count.
 func startBusy(t *testing.T) (*Process, *busyCounts) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "counts")
@@ -89,13 +89,13 @@
 	t.Cleanup(p.Kill)
 	for deadline := time.Now().Add(readyLimit); slices.Contains(counts.load(), 0); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not all threads count: %v; %s", counts.load(), p.logEnd())
+			t.Fatalf("some threads have not counted: %v; %s", counts.load(), p.logTail())
 		}
 	}
 	return p, counts
 }
 
-// A pause that returns while a thread still runs lets the paused process answer.
+// If Pause returned while a thread still runs, the paused process could still answer.
 func TestPauseReturnsOnceAllThreadsAreStopped(t *testing.T) {
 	p, counts := startBusy(t)
 	for range 20 {
@@ -104,21 +104,21 @@
 		time.Sleep(pausedTime)
 		after := counts.load()
 		p.Resume()
-		ran := 0
+		running := 0
 		for i := range before {
 			if after[i] != before[i] {
-				ran++
+				running++
 			}
 		}
-		if ran > 0 {
-			t.Fatalf("%d of %d threads went on after the pause", ran, busyThreads)
+		if running > 0 {
+			t.Fatalf("%d of %d threads ran after the pause", running, busyThreads)
 		}
 		time.Sleep(busyTime)
 	}
 }
 
-// A pause that cannot take effect must not look like one that did.
-func TestPauseTellsWhatIsNotStopped(t *testing.T) {
+// A pause that cannot take effect must return an error.
+func TestPauseReportsRunningThreads(t *testing.T) {
 	p, _ := startBusy(t)
 	never := make(chan struct{})
 	err := waitStopped(p.PID(), never, 20*time.Millisecond)
--- a/tests/harness/process.go
+++ b/tests/harness/process.go
@@ -1,6 +1,6 @@
 // Package harness runs the program as real processes for integration tests:
-// it starts, signals and ends them, puts the fault proxy between them, and reads
-// the records of the stand-ins, which are the witnesses.
+// it starts, signals and stops them, connects them through the fault proxy, and
+// reads the events that the stand-ins record, by which tests check what happened.
 package harness
 
 import (
@@ -23,15 +23,15 @@
 )
 
 const (
-	// Ports below the range from which the system takes those of outgoing
-	// connections, so that a restarted process finds its port free.
+	// Below the system's range of ephemeral ports, so that no outgoing connection
+	// takes the port of a process while it restarts.
 	portMin, portMax = 12000, 30000
 	readyLimit       = 30 * time.Second
 	pauseLimit       = 10 * time.Second
-	shownLogLines    = 60
+	logTailLines     = 60
 )
 
-// defaultSeed makes runs alike, so that CI draws the same faults each time.
+// defaultSeed makes runs repeatable, so that CI draws the same faults each time.
 const defaultSeed = 20261202
 
 // Seed returns the seed of a test and prints it. BAMBOOSPREAD_SEED sets it;
@@ -49,8 +49,8 @@
 	return seed
 }
 
-// Binary returns the path of the program: BAMBOOSPREAD_BINARY, or one built once
-// for this run of tests.
+// Binary returns the path of the program: BAMBOOSPREAD_BINARY, or a binary that is
+// built once per test process.
 func Binary(t testing.TB) string {
 	t.Helper()
 	path, err := buildOnce()
@@ -81,22 +81,22 @@
 func Run(t testing.TB, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(Binary(t), args...)
-	var out, failure strings.Builder
-	cmd.Stdout, cmd.Stderr = &out, &failure
+	var out, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &out, &stderr
 	if err := startChild(cmd); err != nil {
 		t.Fatalf("run %v: %v", args, err)
 	}
 	err := cmd.Wait()
 	if err != nil {
-		t.Logf("%v: %v: %s", args, err, failure.String())
+		t.Logf("%v: %v: %s", args, err, stderr.String())
 	}
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// handedOut holds the addresses that FreeAddress gave.
-var handedOut sync.Map
+// allocatedAddresses holds the addresses that FreeAddress has returned.
+var allocatedAddresses sync.Map
 
-// FreeAddress returns an address of the loopback on which nothing listens.
+// FreeAddress returns a loopback address on which nothing listens.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	for range 1000 {
@@ -109,30 +109,30 @@
 	return ""
 }
 
-// reserve keeps an address from other tests: until its process listens a port looks free to
-// them. Tests of other packages run in processes of their own, so for them the port's UDP
-// twin, which nothing else uses, stays open until the test ends.
+// reserve reserves an address for a test; until its process listens, the port looks free to
+// other tests. Tests of other packages run in separate processes, so the UDP port of the
+// same number, which nothing else uses, is held open until the test ends to exclude them.
 func reserve(t testing.TB, address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
 	}
 	l.Close()
-	twin, err := net.ListenPacket("udp", address)
+	udp, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return false
 	}
-	if _, taken := handedOut.LoadOrStore(address, true); taken {
-		twin.Close()
+	if _, taken := allocatedAddresses.LoadOrStore(address, true); taken {
+		udp.Close()
 		return false
 	}
-	t.Cleanup(func() { twin.Close() })
+	t.Cleanup(func() { udp.Close() })
 	return true
 }
 
-// starter runs functions on one system thread that lives as long as the tests:
-// the kernel kills children with PDEATHSIG when the thread that started them
-// ends, which for an ordinary goroutine can be long before the process does.
+// starter runs functions on one OS thread that exists as long as the test process:
+// the kernel kills children with PDEATHSIG when the thread that started them exits,
+// and the thread of an ordinary goroutine can exit long before the process does.
 var starter = sync.OnceValue(func() chan<- func() {
 	jobs := make(chan func())
 	go func() {
@@ -144,8 +144,8 @@
 	return jobs
 })
 
-// startChild starts a command that is killed when the tests end, however they
-// do.
+// startChild starts a command that is killed when the test process ends, even if
+// it crashes.
 func startChild(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
@@ -163,7 +163,7 @@
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	err  error // of the end, once done is closed
+	err  error // result of cmd.Wait, valid once done is closed
 }
 
 // StartProcess starts the program with the given arguments. Its log is shown
@@ -175,13 +175,13 @@
 	t.Cleanup(func() {
 		p.Kill()
 		if t.Failed() {
-			t.Logf("end of the log of %s:\n%s", name, p.logEnd())
+			t.Logf("end of the log of %s:\n%s", name, p.logTail())
 		}
 	})
 	return p
 }
 
-// Start starts the process again after it ended. It returns once the process
+// Start starts the process, also after it has ended. It returns once the process
 // runs, which may be before it listens.
 func (p *Process) Start() {
 	p.t.Helper()
@@ -212,7 +212,7 @@
 	}()
 }
 
-// PID returns the id of the running process.
+// PID returns the process id.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,14 +222,14 @@
 func (p *Process) signal(s syscall.Signal) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	_ = p.cmd.Process.Signal(s) // the process may have ended
 	return p.done
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits until it has ended.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL) }
 
-// Pause stops the process until Resume and waits until all its threads are
+// Pause suspends the process until Resume and waits until all its threads are
 // stopped. The process must be running.
 func (p *Process) Pause() {
 	p.t.Helper()
@@ -240,11 +240,11 @@
 	}
 }
 
-// Resume lets a paused process go on. The kernel wakes all its threads while it
+// Resume continues a paused process. The kernel wakes all its threads while it
 // sends the signal, so there is nothing to wait for.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks for a graceful stop and returns how the process ended.
+// Terminate requests a graceful stop and returns the result of the process.
 func (p *Process) Terminate(limit time.Duration) error {
 	select {
 	case <-p.signal(syscall.SIGTERM):
@@ -263,7 +263,7 @@
 	p.Start()
 }
 
-// LogLines returns what the process has logged, also in earlier runs.
+// LogLines returns the log lines of the process, including those before restarts.
 func (p *Process) LogLines() []string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
@@ -272,9 +272,9 @@
 	return strings.Split(strings.TrimSpace(string(data)), "\n")
 }
 
-func (p *Process) logEnd() string {
+func (p *Process) logTail() string {
 	lines := p.LogLines()
-	return strings.Join(lines[max(0, len(lines)-shownLogLines):], "\n")
+	return strings.Join(lines[max(0, len(lines)-logTailLines):], "\n")
 }
 
 // WaitFor waits until check returns nil.
@@ -301,13 +301,13 @@
 	if err != nil {
 		return err
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return errors.New(a.Status)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return errors.New(resp.Status)
 	}
 	return nil
 }
--- a/tests/harness/threads.go
+++ b/tests/harness/threads.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// threadLookPause is the time between two looks at the threads of a process.
-const threadLookPause = time.Millisecond
+// threadPollInterval is the time between two reads of a process's thread list.
+const threadPollInterval = time.Millisecond
 
-// waitStopped waits until a process that was sent SIGSTOP is stopped as a whole.
-// The signal only marks the process: one thread takes it and tells the others, and
-// each runs on, and may answer, until it is scheduled and sees it.
+// waitStopped waits until all threads of a process that was sent SIGSTOP are
+// stopped. Sending the signal is not enough: one thread handles it and notifies the
+// others, and each thread continues, and may answer requests, until it is scheduled
+// and sees the notification.
 func waitStopped(pid int, done <-chan struct{}, limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	var before []string
@@ -25,12 +26,12 @@
 			return errors.New("the process has ended")
 		default:
 		}
-		threads, running, err := lookAtThreads(pid)
+		threads, running, err := readThreads(pid)
 		if err != nil {
 			return err
 		}
-		// A thread that was not stopped yet may have started one that the look
-		// missed; a second look that finds the same threads rules it out.
+		// A thread that was not stopped yet may have started another that this read
+		// missed; a second read with the same threads rules that out.
 		if len(running) == 0 && slices.Equal(threads, before) {
 			return nil
 		}
@@ -42,13 +43,13 @@
 			return fmt.Errorf("%d of %d threads not stopped within %s (id and state: %s)",
 				len(running), len(threads), limit, strings.Join(running, ", "))
 		}
-		time.Sleep(threadLookPause)
+		time.Sleep(threadPollInterval)
 	}
 }
 
-// lookAtThreads returns the ids of the threads of a process, and id and state of
+// readThreads returns the ids of the threads of a process, and the id and state of
 // those that are not stopped.
-func lookAtThreads(pid int) (threads, running []string, err error) {
+func readThreads(pid int) (threads, running []string, err error) {
 	dir := fmt.Sprintf("/proc/%d/task", pid)
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return threads, running, nil
 }
 
-// threadState returns the letter that follows the name in a stat file. The name is
-// in parentheses and may hold some.
+// threadState returns the state letter, which follows the thread's name in a stat
+// file. The name is in parentheses and may itself contain parentheses.
 func threadState(path string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/tests/harness/witness.go
+++ b/tests/harness/witness.go
@@ -12,8 +12,8 @@
 	"bamboospread/internal/standin/worker"
 )
 
-// TaskEvents returns the starts and ends of tasks that all workers recorded, in
-// the order of time.
+// TaskEvents returns the starts and ends of tasks that all workers recorded,
+// ordered by time.
 func (k *Cluster) TaskEvents() []worker.Event {
 	k.t.Helper()
 	var all []worker.Event
@@ -24,7 +24,7 @@
 	return all
 }
 
-// Runs returns the requests that all upstreams recorded, in the order of time.
+// Runs returns the requests that all upstreams recorded, ordered by time.
 func (k *Cluster) Runs() []responder.Run {
 	k.t.Helper()
 	var all []responder.Run
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data = data[:bytes.LastIndexByte(data, '\n')+1] // the last line may be in the writing
+	data = data[:bytes.LastIndexByte(data, '\n')+1] // the last line may be incomplete
 	var all []T
 	for line := range bytes.Lines(data) {
 		var v T
--- a/tests/integration/control_faults_test.go
+++ b/tests/integration/control_faults_test.go
@@ -77,9 +77,9 @@
 	vmHearsOnly = cutVM("what a VM sends is cut", proxy.ToServer)
 	vmHeld      = cellFault{"polls and answers held back, then delivered", func(r *trial) {
 		vm := r.takeAway()
-		r.CutAgent(vm, proxy.Faults{Hold: proxy.BothDirections})
+		r.SetAgentFaults(vm, proxy.Faults{Hold: proxy.BothDirections})
 		time.Sleep(awayFor)
-		r.CutAgent(vm, proxy.Faults{})
+		r.SetAgentFaults(vm, proxy.Faults{})
 		time.Sleep(time.Second)
 	}}
 	storeDown = cellFault{"store down", func(r *trial) {
@@ -110,9 +110,9 @@
 func cutVM(name string, way proxy.Direction) cellFault {
 	return cellFault{name, func(r *trial) {
 		vm := r.takeAway()
-		r.CutAgent(vm, proxy.Faults{Cut: way})
+		r.SetAgentFaults(vm, proxy.Faults{Cut: way})
 		time.Sleep(awayFor)
-		r.CutAgent(vm, proxy.Faults{})
+		r.SetAgentFaults(vm, proxy.Faults{})
 		time.Sleep(time.Second)
 	}}
 }
--- a/tests/integration/control_helpers_test.go
+++ b/tests/integration/control_helpers_test.go
@@ -161,7 +161,7 @@
 			f.do(r)
 		}
 	}
-	r.Heal()
+	r.ClearFaults()
 	time.Sleep(500 * time.Millisecond)
 	cancel()
 	<-loaded
--- a/tests/integration/fleet_config_test.go
+++ b/tests/integration/fleet_config_test.go
@@ -151,7 +151,7 @@
 			attempts := race(c)
 			stop()
 			<-disturbed
-			c.Heal()
+			c.ClearFaults()
 			settle(t, c, attempts)
 			time.Sleep(inForceLimit + 500*time.Millisecond)
 			record := accepted.record(t)
@@ -167,7 +167,7 @@
 // time and each link on its own.
 func (c *configScene) loseAnswersToOperators() (stop func()) {
 	for _, e := range c.Entries[:2] {
-		c.links = append(c.links, c.Link(proxy.Config{Target: e.HTTP}))
+		c.links = append(c.links, c.StartProxy(proxy.Config{Target: e.HTTP}))
 	}
 	return background(c.t, func(ctx context.Context) {
 		for i := 0; ctx.Err() == nil; i = 1 - i {
--- a/tests/integration/fleet_zone_test.go
+++ b/tests/integration/fleet_zone_test.go
@@ -88,18 +88,18 @@
 	{
 		name: "orders held back on their way",
 		breaks: func(z *zoneScene) {
-			z.CutAgent(z.vm, proxy.Faults{Hold: proxy.ToClient})
+			z.SetAgentFaults(z.vm, proxy.Faults{Hold: proxy.ToClient})
 			z.load()
 			z.pause(time.Second)
 		},
-		mend: func(z *zoneScene) { z.CutAgent(z.vm, proxy.Faults{}) },
+		mend: func(z *zoneScene) { z.SetAgentFaults(z.vm, proxy.Faults{}) },
 	},
 	{
 		// The starts are journalled, and no poll is there to answer with them.
 		// The owner then learns of nothing but the polls that come at last.
 		name: "owner cut off from store and entries, polls held back",
 		breaks: func(z *zoneScene) {
-			z.CutAgent(z.vm, proxy.Faults{Hold: proxy.ToServer})
+			z.SetAgentFaults(z.vm, proxy.Faults{Hold: proxy.ToServer})
 			time.Sleep(1200 * time.Millisecond) // the last poll is answered, with nothing
 			z.load()
 			time.Sleep(200 * time.Millisecond)
@@ -108,7 +108,7 @@
 			z.other.RPCLink.SetFor(z.owner.Name, proxy.Faults{Refuse: true})
 		},
 		mend: func(z *zoneScene) {
-			z.CutAgent(z.vm, proxy.Faults{})
+			z.SetAgentFaults(z.vm, proxy.Faults{})
 			time.Sleep(time.Second)
 			z.heal()
 		},
--- a/tests/integration/job_cancel_test.go
+++ b/tests/integration/job_cancel_test.go
@@ -46,11 +46,11 @@
 		}},
 		{"sessions break with the stop not yet read", func(r *jobTrial, jobs []string) {
 			for _, vm := range r.JobVMs {
-				r.CutJobAgent(vm, proxy.Faults{Cut: proxy.BothDirections})
+				r.SetJobAgentFaults(vm, proxy.Faults{Cut: proxy.BothDirections})
 			}
 			r.cancel(jobs)
 			time.Sleep(orderTime)
-			r.Heal()
+			r.ClearFaults()
 		}},
 	}
 	for _, tt := range tests {
--- a/tests/integration/job_copies_test.go
+++ b/tests/integration/job_copies_test.go
@@ -33,7 +33,7 @@
 	})
 	for _, vm := range r.JobVMs {
 		if vm.Name == first.vm {
-			r.CutJobAgent(vm, proxy.Faults{Cut: proxy.BothDirections})
+			r.SetJobAgentFaults(vm, proxy.Faults{Cut: proxy.BothDirections})
 		}
 	}
 	cutAt := time.Now()
--- a/tests/integration/job_faults_test.go
+++ b/tests/integration/job_faults_test.go
@@ -70,9 +70,9 @@
 		vm.Agent.Resume()
 	}},
 	{"VM cut off past its grant", func(ctx context.Context, r *jobTrial) {
-		r.CutJobAgent(r.JobVMs[0], proxy.Faults{Cut: proxy.BothDirections})
+		r.SetJobAgentFaults(r.JobVMs[0], proxy.Faults{Cut: proxy.BothDirections})
 		wait(ctx, 7*time.Second)
-		r.CutJobAgent(r.JobVMs[0], proxy.Faults{})
+		r.SetJobAgentFaults(r.JobVMs[0], proxy.Faults{})
 	}},
 	{"executor reborn", func(ctx context.Context, r *jobTrial) {
 		for _, vm := range r.JobVMs {
@@ -141,7 +141,7 @@
 			wait(ctx, 1500*time.Millisecond)
 			f.do(context.WithoutCancel(ctx), r)
 			<-submitted
-			r.Heal()
+			r.ClearFaults()
 			r.await()
 			r.checkTwice()
 			r.checkOrder()
--- a/tests/integration/request_stop_test.go
+++ b/tests/integration/request_stop_test.go
@@ -86,7 +86,7 @@
 			}
 			b.rollingStop(c.agents)
 			all := stop()
-			b.Heal()
+			b.ClearFaults()
 			t.Log(summarise(all))
 			for _, r := range all {
 				if r.err != nil || r.outcome == messenger.OutcomeUnknown {
--- a/tests/soak/bed_test.go
+++ b/tests/soak/bed_test.go
@@ -95,7 +95,7 @@
 func (b *bed) newCallers() []*caller {
 	var addresses []string
 	for _, e := range b.Entries {
-		link := b.Link(proxy.Config{Target: e.HTTP})
+		link := b.StartProxy(proxy.Config{Target: e.HTTP})
 		b.callerLinks = append(b.callerLinks, newStack(link.Set))
 		addresses = append(addresses, link.Address())
 	}
