--- a/tests/measure/allocations_test.go
+++ b/tests/measure/allocations_test.go
@@ -20,10 +20,10 @@
 	"bamboospread/tests/harness"
 )
 
-// inProcess runs store, entry, agent and upstream in this process, so that the
+// startInProcess runs store, entry, agent and upstream in this process, so that the
 // testing package counts allocations and profiles the whole path. It returns the
-// addresses of the entry and of the upstream.
-func inProcess(b *testing.B) (entry, upstream string) {
+// URLs of the entry and of the upstream.
+func startInProcess(b *testing.B) (entry, upstream string) {
 	b.Helper()
 	store := httptest.NewServer(storer.New(storer.Config{}).Handler())
 	b.Cleanup(store.Close)
@@ -64,32 +64,32 @@
 		b.Fatal(err)
 	}
 	harness.WaitFor(b, 10*time.Second, "answer", func(context.Context) error {
-		return ask("http://" + e.HTTPAddress() + "/v1/services/labelling/x")
+		return sendRequest("http://" + e.HTTPAddress() + "/v1/services/labelling/x")
 	})
 	return "http://" + e.HTTPAddress(), "http://" + upstreamAddress
 }
 
-func ask(url string) error {
+func sendRequest(url string) error {
 	r, err := http.NewRequest(http.MethodPut, url, strings.NewReader(strings.Repeat("x", 256)))
 	if err != nil {
 		return err
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	_, err = io.Copy(io.Discard, a.Body)
-	if err == nil && a.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %s", a.Status)
+	defer resp.Body.Close()
+	_, err = io.Copy(io.Discard, resp.Body)
+	if err == nil && resp.StatusCode != http.StatusOK {
+		err = fmt.Errorf("status %s", resp.Status)
 	}
 	return err
 }
 
-// BenchmarkAllocations sends the same request through entry and agent and
-// straight to the upstream; the difference is what the path costs.
+// BenchmarkAllocations sends the same request through entry and agent and directly
+// to the upstream; the difference is the cost of the path.
 func BenchmarkAllocations(b *testing.B) {
-	entry, upstream := inProcess(b)
+	entry, upstream := startInProcess(b)
 	for _, c := range []struct{ name, url string }{
 		{"direct", upstream + "/x"},
 		{"path", entry + "/v1/services/labelling/x"},
@@ -97,7 +97,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := ask(c.url); err != nil {
+				if err := sendRequest(c.url); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/tests/measure/fleet_test.go
+++ b/tests/measure/fleet_test.go
@@ -21,44 +21,45 @@
 	"bamboospread/tests/harness"
 )
 
-// spread is a store, three entries and the announcers and followers of agents in
-// this process; the proxy of the harness would cost more than all of them.
-type spread struct {
+// fleetSetup runs a store, three entries and the announcers and followers of agents
+// in this process, without the harness, whose proxy would use more processor time
+// than all of them.
+type fleetSetup struct {
 	store     *storer.Store
 	operator  *requester.Requester
 	followers []*follower.Follower
 }
 
-// BenchmarkConfigurationSpread measures the time from the answer "done" to the
-// moment at which the last of 300 agents holds the version.
-func BenchmarkConfigurationSpread(b *testing.B) {
+// BenchmarkConfigurationPropagation measures the time from the answer "done" until
+// the last of 300 agents has the version.
+func BenchmarkConfigurationPropagation(b *testing.B) {
 	const agents, changes = 300, 20
-	s := newSpread(b, agents)
-	waitAll(b, s.followers, 1)
-	var last, half []time.Duration
-	before, began := s.store.Calls().Calls, time.Now()
+	s := newFleetSetup(b, agents)
+	awaitVersion(b, s.followers, 1)
+	var lastLags, medianLags []time.Duration
+	before, startedAt := s.store.Calls().Calls, time.Now()
 	for n := range changes {
 		state := []describer.ZoneState{describer.ZoneOut, describer.ZoneIn}[n%2]
 		a, err := s.operator.SetZone(context.Background(), "zone-c", state, fmt.Sprintf("change-%d", n))
 		if err != nil {
 			b.Fatal(err)
 		}
-		lags := waitAll(b, s.followers, a.Version)
-		last, half = append(last, lags[agents-1]), append(half, lags[agents/2])
-		time.Sleep(time.Duration(17*n) * time.Millisecond) // out of step with the heartbeats
+		lags := awaitVersion(b, s.followers, a.Version)
+		lastLags, medianLags = append(lastLags, lags[agents-1]), append(medianLags, lags[agents/2])
+		time.Sleep(time.Duration(17*n) * time.Millisecond) // not in phase with the heartbeats
 	}
-	slices.Sort(last)
-	slices.Sort(half)
-	b.Logf("%d agents, %d changes in %s: half of the agents after %s, the last after %s (medians of the changes), at worst %s", agents, changes,
-		time.Since(began).Round(time.Second), half[changes/2].Round(time.Millisecond), last[changes/2].Round(time.Millisecond), last[changes-1].Round(time.Millisecond))
+	slices.Sort(lastLags)
+	slices.Sort(medianLags)
+	b.Logf("%d agents, %d changes in %s: half of the agents after %s, the last after %s (medians over the changes), maximum %s", agents, changes,
+		time.Since(startedAt).Round(time.Second), medianLags[changes/2].Round(time.Millisecond), lastLags[changes/2].Round(time.Millisecond), lastLags[changes-1].Round(time.Millisecond))
 	for kind, n := range s.store.Calls().Calls {
 		b.Logf("store calls of kind %s: %d", kind, n-before[kind])
 	}
 }
 
-func newSpread(b *testing.B, agents int) *spread {
+func newFleetSetup(b *testing.B, agents int) *fleetSetup {
 	b.Helper()
-	s := &spread{store: storer.New(storer.Config{})}
+	s := &fleetSetup{store: storer.New(storer.Config{})}
 	store := httptest.NewServer(s.store.Handler())
 	var run []func(context.Context) error
 	var rpc, http []string
@@ -98,7 +99,7 @@
 	return s
 }
 
-// newAnnouncer is the part of an agent that learns the fleet.
+// newAnnouncer returns the part of an agent that receives the fleet text.
 func newAnnouncer(name, entry string, f *follower.Follower) *announcer.Announcer {
 	return announcer.New(announcer.Config{
 		AgentID: name, VM: name, Zone: "zone-a", Rack: "r", Incarnation: 1, Entries: []string{entry},
@@ -112,46 +113,46 @@
 	})
 }
 
-// waitAll waits until all followers hold a version, and returns how long each
+// awaitVersion waits until all followers have a version, and returns how long each
 // took, sorted.
-func waitAll(b *testing.B, followers []*follower.Follower, version int64) []time.Duration {
+func awaitVersion(b *testing.B, followers []*follower.Follower, version int64) []time.Duration {
 	b.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	lags := make([]time.Duration, 0, len(followers))
-	open := slices.Clone(followers)
-	for len(open) > 0 {
-		open = slices.DeleteFunc(open, func(f *follower.Follower) bool {
+	waiting := slices.Clone(followers)
+	for len(waiting) > 0 {
+		waiting = slices.DeleteFunc(waiting, func(f *follower.Follower) bool {
 			if f.Version() < version {
 				return false
 			}
-			lags = append(lags, time.Since(began))
+			lags = append(lags, time.Since(startedAt))
 			return true
 		})
-		if time.Since(began) > 30*time.Second {
-			b.Fatalf("%d followers lack version %d", len(open), version)
+		if time.Since(startedAt) > 30*time.Second {
+			b.Fatalf("%d followers lack version %d", len(waiting), version)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return lags
 }
 
-// zoneRun is what the workers recorded in one run.
-type zoneRun struct {
+// zoneResult summarises the events that the workers recorded in one run.
+type zoneResult struct {
 	completed, evicted, tasksTwice int
-	redoneMillis                   int64 // work done more than once
+	redoneMillis                   int64 // work done more than once after evictions
 }
 
-// BenchmarkZoneLeavesAndReturns compares the tasks completed and the evictions of
-// two runs at the same time: in one a zone of three leaves for the middle third.
+// BenchmarkZoneLeavesAndReturns compares the completed tasks and the evictions of
+// two concurrent runs: in one of them one of three zones is out for the middle third.
 func BenchmarkZoneLeavesAndReturns(b *testing.B) {
-	const third = 15 * time.Second
-	runs := make([]zoneRun, 2)
+	const phase = 15 * time.Second
+	results := make([]zoneResult, 2)
 	done := make(chan struct{})
-	for i := range runs {
-		// Without upstreams: beside a service the placement holds tasks back.
+	for i := range results {
+		// No upstreams register: the placement restricts tasks co-located with a service.
 		k := harness.New(b, harness.Config{VMs: 6, UpstreamArgs: []string{"--agent", "http://127.0.0.1:1"}})
 		k.ApplyFleet(harness.FleetText)
-		submitRuns(b, k)
+		submitTasks(b, k)
 		go func() {
 			defer func() { done <- struct{}{} }()
 			for n, state := range []describer.ZoneState{"", describer.ZoneOut, describer.ZoneIn} {
@@ -160,19 +161,19 @@
 						b.Error(err)
 					}
 				}
-				time.Sleep(third)
+				time.Sleep(phase)
 			}
-			runs[i] = countRun(k)
+			results[i] = countEvents(k)
 		}()
 	}
 	<-done
 	<-done
-	still, left := runs[0], runs[1]
-	b.Logf("no zone change: %+v", still)
-	b.Logf("zone leaves and returns: %+v, completed %.2f of the other run", left, float64(left.completed)/float64(still.completed))
+	unchanged, changed := results[0], results[1]
+	b.Logf("no zone change: %+v", unchanged)
+	b.Logf("zone leaves and returns: %+v, completed %.2f times the tasks of the other run", changed, float64(changed.completed)/float64(unchanged.completed))
 }
 
-func submitRuns(b *testing.B, k *harness.Cluster) {
+func submitTasks(b *testing.B, k *harness.Cluster) {
 	b.Helper()
 	specs := make([]messenger.TaskSpec, 1600)
 	for i := range specs {
@@ -190,14 +191,14 @@
 	})
 }
 
-func countRun(k *harness.Cluster) zoneRun {
-	var r zoneRun
-	reached := make(map[string]int64) // progress at the last end of each task
+func countEvents(k *harness.Cluster) zoneResult {
+	var r zoneResult
+	lastProgress := make(map[string]int64) // of each task when its last attempt ended
 	ended := make(map[string]int)
 	for _, e := range k.TaskEvents() {
 		switch e.Event {
 		case worker.EventStart:
-			r.redoneMillis += max(0, reached[e.Task]-e.ProgressMillis)
+			r.redoneMillis += max(0, lastProgress[e.Task]-e.ProgressMillis)
 		case worker.EventCompleted:
 			r.completed++
 			if ended[e.Task]++; ended[e.Task] > 1 {
@@ -205,7 +206,7 @@
 			}
 		default:
 			r.evicted++
-			reached[e.Task] = e.ProgressMillis
+			lastProgress[e.Task] = e.ProgressMillis
 		}
 	}
 	return r
