--- a/tests/capacity/agents_test.go
+++ b/tests/capacity/agents_test.go
@@ -13,7 +13,8 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// fakeAgent polls an owner as an agent does and takes its word for what runs.
+// fakeAgent polls an owner as an agent does, but runs nothing: it reports each
+// ordered task as running until its run time has passed.
 type fakeAgent struct {
 	address  string
 	capacity messenger.Capacity
@@ -27,7 +28,7 @@
 	ends   time.Time
 }
 
-// startAgents connects agents of VMs with 64 processors until the test ends.
+// startAgents connects the agents of n VMs with 64 processors each until the test ends.
 func startAgents(b *testing.B, address string, n int) []*fakeAgent {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +49,7 @@
 	return agents
 }
 
-// dial connects, in several tries.
+// dial connects, retrying until ctx ends.
 func dial(ctx context.Context, address string) *connector.Conn {
 	for ctx.Err() == nil {
 		conn, err := connector.Dial(ctx, address, func(context.Context, *connector.Conn, string, json.RawMessage) (any, error) {
@@ -82,7 +83,7 @@
 			continue
 		}
 		p.Epoch = reply.Epoch
-		a.take(reply)
+		a.applyReply(reply)
 	}
 }
 
@@ -111,7 +112,7 @@
 	return u
 }
 
-func (a *fakeAgent) take(r messenger.PollReply) {
+func (a *fakeAgent) applyReply(r messenger.PollReply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, at := range r.Acked {
@@ -132,8 +133,8 @@
 	}
 }
 
-// running counts the tasks of all agents.
-func running(agents []*fakeAgent) int {
+// countTasks counts the tasks of all agents.
+func countTasks(agents []*fakeAgent) int {
 	n := 0
 	for _, a := range agents {
 		a.mu.Lock()
@@ -143,7 +144,7 @@
 	return n
 }
 
-// startHeartbeats opens sessions of agents with an entry, as announcers do.
+// startHeartbeats opens sessions of n agents with an entry, as announcers do.
 func startHeartbeats(b *testing.B, address string, n int) {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,22 +152,22 @@
 	b.Cleanup(func() { cancel(); wg.Wait() })
 	for i := range n {
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * time.Millisecond) // not all at once
+			time.Sleep(time.Duration(i) * time.Millisecond) // spread over time
 			conn := dial(ctx, address)
 			if conn == nil {
 				return
 			}
 			defer conn.Close()
 			id := fmt.Sprintf("agent-%04d", i)
-			up := []messenger.Upstream{{ID: "up-" + id, Service: "labelling", Slots: 8, Connections: 64, State: messenger.UpstreamReady}}
+			upstreams := []messenger.Upstream{{ID: "up-" + id, Service: "labelling", Slots: 8, Connections: 64, State: messenger.UpstreamReady}}
 			var reply messenger.AnnounceReply
 			_ = conn.Call(ctx, messenger.MethodAnnounce, messenger.Announce{
-				AgentID: id, Incarnation: 1, VM: id, Zone: "zone-a", Rack: "rack-1", Upstreams: up,
+				AgentID: id, Incarnation: 1, VM: id, Zone: "zone-a", Rack: "rack-1", Upstreams: upstreams,
 			}, &reply)
 			tick := time.NewTicker(time.Second)
 			defer tick.Stop()
 			for seq := int64(1); ctx.Err() == nil; seq++ {
-				_ = conn.Call(ctx, messenger.MethodHeartbeat, messenger.Heartbeat{AgentID: id, Incarnation: 1, Sequence: seq, Upstreams: up}, &reply)
+				_ = conn.Call(ctx, messenger.MethodHeartbeat, messenger.Heartbeat{AgentID: id, Incarnation: 1, Sequence: seq, Upstreams: upstreams}, &reply)
 				select {
 				case <-tick.C:
 				case <-ctx.Done():
--- a/tests/capacity/probe_test.go
+++ b/tests/capacity/probe_test.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	settle = 3 * time.Second // before a measurement
-	window = 10 * time.Second
-	ticks  = 100 // of the kernel's processor time in a second
+	settlingTime        = 3 * time.Second // before a measurement
+	measurementTime     = 10 * time.Second
+	clockTicksPerSecond = 100 // of the kernel's processor time in a second
 )
 
-// probe measures a process and its links over a window.
+// probe measures a process, its links and the store calls over measurementTime.
 type probe struct {
 	pid   int
 	links []*proxy.Proxy
-	store string // URL, for its counts of calls
+	store string // URL of the store whose calls are counted; empty: not counted
 }
 
 type sample struct {
-	at               time.Time
-	cpu              float64 // seconds
-	toServer, toPeer int64
-	calls            map[string]int64
+	at                 time.Time
+	cpu                float64 // seconds
+	toServer, toClient int64
+	calls              map[string]int64
 }
 
-func (p probe) take(b *testing.B) sample {
+func (p probe) takeSample(b *testing.B) sample {
 	b.Helper()
-	s := sample{at: time.Now(), cpu: cpuOf(b, p.pid)}
+	s := sample{at: time.Now(), cpu: cpuSeconds(b, p.pid)}
 	for _, l := range p.links {
 		up, down := l.CountBytes()
-		s.toServer, s.toPeer = s.toServer+up, s.toPeer+down
+		s.toServer, s.toClient = s.toServer+up, s.toClient+down
 	}
 	if p.store != "" {
-		s.calls = callsOf(b, p.store)
+		s.calls = readStoreCalls(b, p.store)
 	}
 	return s
 }
 
-// measure reports the rates of a window.
+// measure waits settlingTime and then reports the rates over measurementTime.
 func (p probe) measure(b *testing.B) {
 	b.Helper()
-	time.Sleep(settle)
-	before := p.take(b)
-	time.Sleep(window)
-	after := p.take(b)
+	time.Sleep(settlingTime)
+	before := p.takeSample(b)
+	time.Sleep(measurementTime)
+	after := p.takeSample(b)
 	seconds := after.at.Sub(before.at).Seconds()
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(100*(after.cpu-before.cpu)/seconds, "%core")
-	b.ReportMetric(rssOf(b, p.pid), "MiB")
+	b.ReportMetric(residentMiB(b, p.pid), "MiB")
 	if len(p.links) > 0 {
 		b.ReportMetric(float64(after.toServer-before.toServer)/seconds, "B/s-out")
-		b.ReportMetric(float64(after.toPeer-before.toPeer)/seconds, "B/s-in")
+		b.ReportMetric(float64(after.toClient-before.toClient)/seconds, "B/s-in")
 	}
 	for kind, n := range after.calls {
 		b.ReportMetric(float64(n-before.calls[kind])/seconds, kind+"/s")
 	}
 }
 
-func cpuOf(b *testing.B, pid int) float64 {
+func cpuSeconds(b *testing.B, pid int) float64 {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -77,11 +77,11 @@
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+2:]))
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / ticks
+	return (user + system) / clockTicksPerSecond
 }
 
-// rssOf returns the resident memory in MiB.
-func rssOf(b *testing.B, pid int) float64 {
+// residentMiB returns the resident memory.
+func residentMiB(b *testing.B, pid int) float64 {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -96,34 +96,34 @@
 	return 0
 }
 
-func callsOf(b *testing.B, store string) map[string]int64 {
+func readStoreCalls(b *testing.B, store string) map[string]int64 {
 	b.Helper()
-	a, err := http.Get(store + "/control/calls")
+	resp, err := http.Get(store + "/control/calls")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	var c struct {
 		Calls map[string]int64 `json:"calls"`
 	}
-	if err := json.NewDecoder(a.Body).Decode(&c); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&c); err != nil {
 		b.Fatal(err)
 	}
 	return c.Calls
 }
 
-// meter returns a metric of an entry.
-func meter(b *testing.B, e *harness.Entry, name string) float64 {
+// readMetric returns the value of an entry's metric, or 0 if it has none.
+func readMetric(b *testing.B, e *harness.Entry, name string) float64 {
 	b.Helper()
-	a, err := http.Get("http://" + e.HTTP + "/metrics")
+	resp, err := http.Get("http://" + e.HTTP + "/metrics")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	var text strings.Builder
 	buffer := make([]byte, 1<<16)
 	for {
-		n, err := a.Body.Read(buffer)
+		n, err := resp.Body.Read(buffer)
 		text.Write(buffer[:n])
 		if err != nil {
 			break
--- a/tests/capacity/slopes_test.go
+++ b/tests/capacity/slopes_test.go
@@ -16,8 +16,9 @@
 	"bamboospread/tests/proxy"
 )
 
-// Sizes of a VM at the target: 22,000 service and 100,000 batch tasks on 4,500.
-const tasksOfVM = 27
+// tasksPerVM is the number of tasks per VM at the target size: 22,000 service and
+// 100,000 batch tasks on 4,500 VMs.
+const tasksPerVM = 27
 
 func submit(b *testing.B, k *harness.Cluster, prefix string, n int, needs describer.Resources, runTime time.Duration) {
 	b.Helper()
@@ -33,7 +34,7 @@
 		}
 		harness.WaitFor(b, 30*time.Second, "tasks accepted", func(ctx context.Context) error {
 			reply, err := operator.Submit(ctx, specs)
-			for _, v := range reply.Verdicts { // at first the owner may not know the fleet
+			for _, v := range reply.Verdicts { // at first the owner may not have the fleet text
 				if !v.Accepted {
 					return fmt.Errorf("task %s: %s", v.ID, v.Reason)
 				}
@@ -43,17 +44,18 @@
 	}
 }
 
-// cluster starts a store and entries without VMs.
-func cluster(b *testing.B, entries int) *harness.Cluster {
+// startCluster starts a store and entries without VMs.
+func startCluster(b *testing.B, entries int) *harness.Cluster {
 	b.Helper()
 	k := harness.New(b, harness.Config{Entries: entries, VMs: -1})
 	k.ApplyFleet(harness.FleetText)
 	return k
 }
 
-// link returns a proxy to the RPC address of an entry that does not look up who
-// connects: that is slow for the many connections of one test process.
-func link(b *testing.B, e *harness.Entry) *proxy.Proxy {
+// startProxy returns a proxy to the RPC address of an entry that does not identify
+// the opener of a connection: that is slow for the many connections of one test
+// process.
+func startProxy(b *testing.B, e *harness.Entry) *proxy.Proxy {
 	b.Helper()
 	at := slices.Index(e.Args, "--rpc-listen")
 	p, err := proxy.New(proxy.Config{Target: e.Args[at+1]})
@@ -66,37 +68,37 @@
 
 var smallNeeds = describer.Resources{Millicores: 2000, MemoryBytes: 4 << 30}
 
-// BenchmarkOwnerByVMs measures an owner of VMs that each run the tasks of the
-// target size and poll.
+// BenchmarkOwnerByVMs measures an owner whose agents poll and each run as many tasks
+// as at the target size.
 func BenchmarkOwnerByVMs(b *testing.B) {
 	for _, vms := range []int{25, 100, 400} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
-			k := cluster(b, 1)
-			l := link(b, k.Entries[0])
+			k := startCluster(b, 1)
+			l := startProxy(b, k.Entries[0])
 			agents := startAgents(b, l.Address(), vms)
-			submit(b, k, "task", vms*tasksOfVM, smallNeeds, time.Hour)
-			waitTasks(b, func() int { return running(agents) }, vms*tasksOfVM)
+			submit(b, k, "task", vms*tasksPerVM, smallNeeds, time.Hour)
+			waitTasks(b, func() int { return countTasks(agents) }, vms*tasksPerVM)
 			probe{pid: k.Entries[0].PID(), links: []*proxy.Proxy{l}, store: k.StoreURL}.measure(b)
-			reportRound(b, k)
+			reportRoundTime(b, k)
 		})
 	}
 }
 
-// reportRound reports the mean time of a round of the placer.
-func reportRound(b *testing.B, k *harness.Cluster) {
+// reportRoundTime reports the mean time of a placement round.
+func reportRoundTime(b *testing.B, k *harness.Cluster) {
 	b.Helper()
-	sum, n := meter(b, k.Entries[0], "bamboospread_cell_placement_round_seconds_sum"), meter(b, k.Entries[0], "bamboospread_cell_placement_round_seconds_count")
+	sum, n := readMetric(b, k.Entries[0], "bamboospread_cell_placement_round_seconds_sum"), readMetric(b, k.Entries[0], "bamboospread_cell_placement_round_seconds_count")
 	if n > 0 {
 		b.ReportMetric(1000*sum/n, "ms/round")
 	}
 }
 
-// BenchmarkOwnerByStarts measures an owner of 50 VMs at several rates of starts.
+// BenchmarkOwnerByStarts measures an owner of 50 VMs at several start rates.
 func BenchmarkOwnerByStarts(b *testing.B) {
 	for _, rate := range []int{20, 60, 180} {
 		b.Run(fmt.Sprint("starts=", rate), func(b *testing.B) {
-			k := cluster(b, 1)
-			startAgents(b, link(b, k.Entries[0]).Address(), 50)
+			k := startCluster(b, 1)
+			startAgents(b, startProxy(b, k.Entries[0]).Address(), 50)
 			stop := make(chan struct{})
 			ended := make(chan struct{})
 			go func() {
@@ -110,9 +112,9 @@
 					}
 				}
 			}()
-			before := meter(b, k.Entries[0], "bamboospread_cell_starts_total")
+			before := readMetric(b, k.Entries[0], "bamboospread_cell_starts_total")
 			probe{pid: k.Entries[0].PID(), links: []*proxy.Proxy{k.Entries[0].StoreLink}, store: k.StoreURL}.measure(b)
-			b.ReportMetric((meter(b, k.Entries[0], "bamboospread_cell_starts_total")-before)/(settle+window).Seconds(), "starts/s")
+			b.ReportMetric((readMetric(b, k.Entries[0], "bamboospread_cell_starts_total")-before)/(settlingTime+measurementTime).Seconds(), "starts/s")
 			close(stop)
 			<-ended
 		})
@@ -123,32 +125,31 @@
 func BenchmarkOwnerByTasks(b *testing.B) {
 	for _, tasks := range []int{1000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprint("tasks=", tasks), func(b *testing.B) {
-			k := cluster(b, 1)
+			k := startCluster(b, 1)
 			submit(b, k, "task", tasks, smallNeeds, time.Hour)
 			probe{pid: k.Entries[0].PID(), store: k.StoreURL}.measure(b)
-			reportRound(b, k)
+			reportRoundTime(b, k)
 		})
 	}
 }
 
-// BenchmarkEntryByAgents measures an entry with which agents keep sessions.
+// BenchmarkEntryByAgents measures an entry that has sessions with agents.
 func BenchmarkEntryByAgents(b *testing.B) {
 	for _, agents := range []int{200, 600, 1800} {
 		b.Run(fmt.Sprint("agents=", agents), func(b *testing.B) {
-			k := cluster(b, 1)
-			l := link(b, k.Entries[0])
+			k := startCluster(b, 1)
+			l := startProxy(b, k.Entries[0])
 			startHeartbeats(b, l.Address(), agents)
 			probe{pid: k.Entries[0].PID(), links: []*proxy.Proxy{l}}.measure(b)
 		})
 	}
 }
 
-// BenchmarkCells measures the calls of the store by entries that own one cell
-// each and have nothing to do.
+// BenchmarkCells measures the store calls of idle entries that own one cell each.
 func BenchmarkCells(b *testing.B) {
 	for _, cells := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprint("cells=", cells), func(b *testing.B) {
-			k := cluster(b, 1)
+			k := startCluster(b, 1)
 			for i := 1; i < cells; i++ {
 				name := fmt.Sprint("entry-of-cell-", i)
 				harness.StartProcess(b, name, "entry", "--id", name, "--cell", fmt.Sprint("cell-", i),
@@ -180,7 +181,7 @@
 	}
 }
 
-// BenchmarkAgentByEntries measures a real agent that keeps sessions with several
+// BenchmarkAgentByEntries measures a real agent that has sessions with several
 // entries.
 func BenchmarkAgentByEntries(b *testing.B) {
 	for _, entries := range []int{1, 2, 4, 8} {
@@ -193,7 +194,7 @@
 	}
 }
 
-// BenchmarkMessages reports the encoded sizes of the messages that repeat.
+// BenchmarkMessages reports the encoded sizes of the periodic messages.
 func BenchmarkMessages(b *testing.B) {
 	for _, tasks := range []int{0, 9, 27, 54} {
 		b.Run(fmt.Sprint("poll/tasks=", tasks), func(b *testing.B) {
@@ -205,30 +206,30 @@
 					Class: "sorting-run", Tenant: "packhouse", Needs: smallNeeds, RunTime: 3600000,
 				})
 			}
-			a.take(r)
+			a.applyReply(r)
 			p := messenger.Poll{Cell: "main", AgentID: "agent-vm-0001", Incarnation: time.Now().UnixNano(), Tasks: a.reports(), Usage: a.usage(time.Now())}
-			size(b, p, "B/poll")
+			reportSize(b, p, "B/poll")
 			p.Usage = nil
-			size(b, p, "B/poll-without-usage")
-			size(b, r, "B/start-orders")
+			reportSize(b, p, "B/poll-without-usage")
+			reportSize(b, r, "B/start-orders")
 		})
 	}
 	for _, entries := range []int{2, 8, 24} {
 		b.Run(fmt.Sprint("heartbeat/entries=", entries), func(b *testing.B) {
-			up := []messenger.Upstream{{ID: "runner-vm-0001", Service: "labelling", Slots: 8, Connections: 64, State: messenger.UpstreamReady}}
-			size(b, messenger.Heartbeat{AgentID: "agent-vm-0001", Incarnation: time.Now().UnixNano(), Sequence: 1000, Upstreams: up, FleetVersion: 1000}, "B/heartbeat")
+			upstreams := []messenger.Upstream{{ID: "runner-vm-0001", Service: "labelling", Slots: 8, Connections: 64, State: messenger.UpstreamReady}}
+			reportSize(b, messenger.Heartbeat{AgentID: "agent-vm-0001", Incarnation: time.Now().UnixNano(), Sequence: 1000, Upstreams: upstreams, FleetVersion: 1000}, "B/heartbeat")
 			r := messenger.AnnounceReply{EntryID: "entry-1", FleetVersion: 1000}
 			for i := range entries {
 				r.Peers = append(r.Peers, messenger.PeerAddress{EntryID: fmt.Sprint("entry-", i), Address: "10.0.0.10:8081"})
 			}
 			r.Owners = []messenger.CellOwner{{Cell: "main", Epoch: 10, EntryID: "entry-1", Address: "10.0.0.10:8081"}}
-			size(b, r, "B/reply")
+			reportSize(b, r, "B/reply")
 		})
 	}
 }
 
-// BenchmarkFleetRecord reports the size of the record that every agent fetches
-// after a change, for teams with a service and a task class each.
+// BenchmarkFleetRecord reports the size of the fleet record that every agent fetches
+// after a change, for a number of teams with one service and one task class each.
 func BenchmarkFleetRecord(b *testing.B) {
 	for _, teams := range []int{32, 100, 320} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
@@ -249,12 +250,12 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			size(b, messenger.FleetReply{Version: 1000, Record: record}, "B/reply")
+			reportSize(b, messenger.FleetReply{Version: 1000, Record: record}, "B/reply")
 		})
 	}
 }
 
-func size(b *testing.B, v any, unit string) {
+func reportSize(b *testing.B, v any, unit string) {
 	b.Helper()
 	data, err := json.Marshal(v)
 	if err != nil {
