--- a/tests/soak/doc.go
+++ b/tests/soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak runs the program's processes under faults drawn from a seed, that
-// come in series and overlap, and checks what callers and executors see.
+// Package soak runs the program's processes under overlapping and repeated faults
+// that are drawn from a seed, and checks what callers and executors observe.
 package soak
--- a/tests/soak/seeds_test.go
+++ b/tests/soak/seeds_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Guards against a run that passes since it read one of the seeds that it was given.
-func TestSeedsAreReadWholeOrRefused(t *testing.T) {
+// A value of SOAK_SEEDS must be read completely or refused; otherwise a run could pass
+// that skipped some of the given seeds.
+func TestReadSeeds(t *testing.T) {
 	tests := []struct {
 		text string
 		want []uint64 // nil: refused
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	warmUp      = 1500 * time.Millisecond
-	quietTime   = regainBound + cancelBound + stopTime + 1500*time.Millisecond
-	settleBound = 40 * time.Second // for what was accepted to end after the last fault
-	seedLimit   = 3 * time.Minute
-	askPause    = 200 * time.Millisecond
+	warmUp          = 1500 * time.Millisecond
+	faultFreeTime   = reconnectBound + cancelBound + stopTime + 1500*time.Millisecond
+	completionBound = 40 * time.Second // after the last fault, for accepted jobs and cancellations to take effect
+	seedLimit       = 3 * time.Minute
+	pollInterval    = 200 * time.Millisecond
 )
 
-// seeds are those that run with all tests and, with a cause, the ones that have failed. The
-// latter run when they are asked for, by their numbers or as "kept": a seed fixes the faults
-// and not their timing.
+// seeds lists the seeds that run with all tests and, with a cause, those that have failed.
+// The latter run only on request, by number or as "kept", since a seed determines the faults
+// but not their timing.
 var seeds = []struct {
-	seed  uint64
-	cause string // of the failure that the seed once showed; empty: none
-	red   bool   // stands in KNOWN-RED.txt: not run as "kept"
+	seed     uint64
+	cause    string // of the failure that the seed has shown; empty: none
+	knownRed bool   // listed in KNOWN-RED.txt; not run as "kept"
 }{
 	{3, "", false},
 	{4, "", false},
-	{14, "twice: starts in doubt are forgotten with their agent's process, and come to the worker's new life", false},
-	{110, "accepted: writes gave up before they had learned the revisions of all their records", false},
-	{113, "twice: a silent worker was reported to a new owner without a look under its epoch; starts cut off by their stop were not in doubt", false},
+	{14, "twice: unconfirmed starts were forgotten when their agent's process ended, and reached the worker's new incarnation", false},
+	{110, "accepted: writes gave up before they had read the revisions of all their records", false},
+	{113, "twice: an unresponsive worker was reported to a new owner without a status poll under its epoch; starts interrupted by their stop were not treated as unconfirmed", false},
 }
 
-// TestSoak: callers submit jobs, ask for them and cancel them while processes end,
-// freeze and lose their connections, several at a time. Whatever was acknowledged
-// holds in the end, and no promise is broken on the way. SOAK_SEEDS names other seeds,
-// as 7, 1..50 or 7,9,20..30, or with "kept" all that have failed once.
+// TestSoak submits, polls and cancels jobs while processes stop, freeze and lose their
+// connections, several at a time. Everything that was acknowledged must hold in the end,
+// and no promise may be broken in between. SOAK_SEEDS selects other seeds, such as 7,
+// 1..50 or 7,9,20..30, or with "kept" all seeds that have failed before.
 func TestSoak(t *testing.T) {
 	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			soak(t, seed)
+			runSeed(t, seed)
 		})
 	}
 }
@@ -56,8 +56,8 @@
 	if text == "" || text == "kept" {
 		for _, s := range seeds {
 			switch {
-			case s.red:
-				t.Logf("passed over, see KNOWN-RED.txt: seed %d: %s", s.seed, s.cause)
+			case s.knownRed:
+				t.Logf("skipped, see KNOWN-RED.txt: seed %d: %s", s.seed, s.cause)
 			case s.cause == "" || text == "kept":
 				all = append(all, s.seed)
 			}
@@ -71,17 +71,17 @@
 	return all
 }
 
-// errSeeds is returned for seeds that can't be read.
+// errSeeds is returned for a value of SOAK_SEEDS that can't be parsed.
 type errSeeds struct{ text string }
 
 func (e errSeeds) Error() string {
 	return fmt.Sprintf("SOAK_SEEDS is %q, want kept, a seed, a range or a list, such as 7, 1..50 or 7,9,20..30", e.text)
 }
 
-// seedsMost bounds what is run by mistake.
-const seedsMost = 10_000
+// maxSeeds guards against running too many seeds by mistake.
+const maxSeeds = 10_000
 
-// readSeeds reads a list of seeds and ranges.
+// readSeeds parses a list of seeds and ranges.
 func readSeeds(text string) (all []uint64, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		from, to, isRange := strings.Cut(strings.TrimSpace(part), "..")
@@ -95,7 +95,7 @@
 				return nil, errSeeds{text}
 			}
 		}
-		if first > last || last-first >= seedsMost || len(all) > seedsMost {
+		if first > last || last-first >= maxSeeds || len(all) > maxSeeds {
 			return nil, errSeeds{text}
 		}
 		for seed := first; seed <= last; seed++ {
@@ -105,94 +105,95 @@
 	return all, nil
 }
 
-func soak(t *testing.T, seed uint64) {
-	b := newBed(t, seed)
-	limit, cancel := context.WithTimeout(t.Context(), seedLimit)
+func runSeed(t *testing.T, seed uint64) {
+	b := newTestbed(t, seed)
+	seedCtx, cancel := context.WithTimeout(t.Context(), seedLimit)
 	defer cancel()
-	ctx, stop := context.WithCancel(limit)
-	var calling sync.WaitGroup
+	ctx, stop := context.WithCancel(seedCtx)
+	var callerGroup sync.WaitGroup
 	for _, c := range b.callers {
-		calling.Go(func() { c.run(ctx, limit) })
+		callerGroup.Go(func() { c.run(ctx, seedCtx) })
 	}
 	wait(ctx, warmUp)
 	r := rand.New(rand.NewPCG(seed, 2))
 	var findings []string
 	for range 2 + r.IntN(2) {
-		b.burst(ctx, limit, r)
-		b.beginQuiet()
-		wait(limit, quietTime)
-		if findings = b.witness().check(); len(findings) > 0 {
+		b.burst(ctx, seedCtx, r)
+		b.beginFaultFree()
+		wait(seedCtx, faultFreeTime)
+		if findings = b.history().check(); len(findings) > 0 {
 			break
 		}
-		b.endQuiet()
+		b.endFaultFree()
 	}
 	stop()
 	if len(findings) == 0 {
-		b.beginQuiet()
-		findings = b.settle(limit)
+		b.beginFaultFree()
+		findings = b.checkFinalState(seedCtx)
 	}
 	cancel()
-	calling.Wait()
-	b.faulty.Wait()
-	findings = append(findings, b.book.findings...)
+	callerGroup.Wait()
+	b.background.Wait()
+	findings = append(findings, b.registry.findings...)
 	b.report(findings)
 }
 
-func (b *bed) beginQuiet() {
+func (b *testbed) beginFaultFree() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.quiet = append(b.quiet, window{from: time.Now()})
+	b.faultFree = append(b.faultFree, window{from: time.Now()})
 }
 
-func (b *bed) endQuiet() {
+func (b *testbed) endFaultFree() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.quiet[len(b.quiet)-1].to = time.Now()
+	b.faultFree[len(b.faultFree)-1].to = time.Now()
 }
 
-// settle waits until all that was accepted is true, then cancels what lasts.
-func (b *bed) settle(limit context.Context) []string {
+// checkFinalState waits until all accepted requests have taken effect, then cancels the
+// long-running jobs. It returns what did not take effect and which promises were broken.
+func (b *testbed) checkFinalState(seedCtx context.Context) []string {
 	c := b.callers[0]
-	open := b.await(limit)
-	for _, id := range b.book.list(func(r *record) bool { return r.pending() && r.spec.Lasts() }) {
-		b.faulty.Go(func() { c.cancel(limit, id) })
+	unfinished := b.awaitOutcomes(seedCtx)
+	for _, id := range b.registry.jobIDs(func(r *record) bool { return r.pending() && r.spec.Lasts() }) {
+		b.background.Go(func() { c.cancel(seedCtx, id) })
 	}
-	wait(limit, cancelBound+stopTime+time.Second)
-	for _, id := range b.book.list(func(r *record) bool { return r.cancel && r.acked.IsZero() }) {
-		open = append(open, fmt.Sprintf("settled: cancellation of job %s", id))
+	wait(seedCtx, cancelBound+stopTime+time.Second)
+	for _, id := range b.registry.jobIDs(func(r *record) bool { return r.cancelRequested && r.acked.IsZero() }) {
+		unfinished = append(unfinished, fmt.Sprintf("settled: cancellation of job %s is not acknowledged", id))
 	}
-	return append(open, b.witness().check()...)
+	return append(unfinished, b.history().check()...)
 }
 
-// await returns what has not come by the time it must.
-func (b *bed) await(limit context.Context) (open []string) {
+// awaitOutcomes waits up to completionBound and returns what is still outstanding.
+func (b *testbed) awaitOutcomes(seedCtx context.Context) (unfinished []string) {
 	c := b.callers[0]
-	for until := time.Now().Add(settleBound); time.Now().Before(until) && limit.Err() == nil; wait(limit, askPause) {
-		for _, id := range b.book.list(func(r *record) bool {
-			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCanceled && (r.cancel || !r.spec.Lasts())
+	for until := time.Now().Add(completionBound); time.Now().Before(until) && seedCtx.Err() == nil; wait(seedCtx, pollInterval) {
+		for _, id := range b.registry.jobIDs(func(r *record) bool {
+			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCanceled && (r.cancelRequested || !r.spec.Lasts())
 		}) {
-			c.ask(limit, id)
+			c.checkState(seedCtx, id)
 		}
-		if open = b.witness().waiting(); len(open) == 0 {
+		if unfinished = b.history().outstanding(); len(unfinished) == 0 {
 			return nil
 		}
 	}
-	return open
+	return unfinished
 }
 
-// report fails the test if anything was found, and keeps the logs.
-func (b *bed) report(findings []string) {
+// report fails the test and saves the logs if there are findings.
+func (b *testbed) report(findings []string) {
 	b.t.Helper()
-	count := func(want func(*record) bool) int { return len(b.book.list(want)) }
-	b.t.Logf("seed %d: %d jobs, %d refused, %d lasting, %d done, %d cancelled, %d events of executors", b.seed,
+	count := func(want func(*record) bool) int { return len(b.registry.jobIDs(want)) }
+	b.t.Logf("seed %d: %d jobs, %d refused, %d long-running, %d done, %d cancelled, %d events of executors", b.seed,
 		count(func(*record) bool { return true }), count(func(r *record) bool { return r.refused }), count(func(r *record) bool { return r.spec.Lasts() }),
 		count(func(r *record) bool { return !r.done.IsZero() }), count(func(r *record) bool { return !r.acked.IsZero() }), len(b.JobEvents()))
 	if len(findings) == 0 {
 		return
 	}
-	// SOAK_LOGS names another folder for the logs of failed seeds.
+	// SOAK_LOGS sets the folder for the logs of failed seeds.
 	dir := filepath.Join(cmp.Or(os.Getenv("SOAK_LOGS"), filepath.Join(os.TempDir(), "bamboospread-soak")), fmt.Sprintf("seed-%d-%s", b.seed, time.Now().UTC().Format("150405")))
-	if err := b.keep(dir, findings); err != nil {
+	if err := b.saveLogs(dir, findings); err != nil {
 		b.t.Error(err)
 	}
 	b.t.Errorf("seed %d: %d findings, logs in %s; make soak SEED=%d repeats it\n%s", b.seed, len(findings), dir, b.seed, strings.Join(findings[:min(len(findings), 20)], "\n"))
