--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -1,7 +1,7 @@
 // Package guardian is the agent's side of jobs. It is the only caller of the VM's worker and
-// therefore the last check of the VM's capacity. It carries out the orders of the cell's
-// owner, renews the leases of runs for as long as the owner has granted, and reports the
-// state of the worker.
+// therefore the last check of the VM's capacity and of what runs on it. It carries out the
+// orders of the cell's owner, renews the leases of runs for as long as the owner has granted,
+// and reports the state of the worker.
 package guardian
 
 import (
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -16,14 +16,14 @@
 
 // Timeouts and limits of calls to the worker.
 const (
-	// callLimit is the timeout of a call. The worker answers in milliseconds; the rest allows
-	// for this process waiting for its share of a processor.
-	callLimit     = 600 * time.Millisecond
+	// callTimeout allows for this process waiting for its share of a processor. The worker
+	// itself answers in milliseconds.
+	callTimeout   = 600 * time.Millisecond
 	callPause     = 50 * time.Millisecond  // before a retry
 	callPauseMax  = 400 * time.Millisecond // the pause doubles up to this
 	startAttempts = 4                      // of a start, while no process listens at the worker's address
 	// startValidity is how long after it was sent a start may be carried out. An answer later
-	// than callLimit changes nothing, and the worker refuses a later start by its own clock,
+	// than callTimeout changes nothing, and the worker refuses a later start by its own clock,
 	// so an unanswered start blocks its task for no longer than this.
 	startValidity = 800 * time.Millisecond
 	// clockLagMax is the longest time by which the worker's clock may lag behind the agent's
@@ -174,7 +174,7 @@
 			r.startExpiresAt = call.Until
 		}
 		g.mu.Unlock()
-		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err = g.config.Worker.Start(callCtx, call)
 		cancel()
 		if !IsErrWorkerNotExist(err) || pauser.Pause(ctx, callPause) != nil {
@@ -228,7 +228,7 @@
 		if r == nil {
 			return
 		}
-		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := g.config.Worker.Stop(callCtx, StopCall{Task: key.Task, Run: key.Number, Epoch: epoch})
 		cancel()
 		if err == nil && g.stopAnswered(r, incarnation) {
@@ -276,7 +276,7 @@
 		if done {
 			return
 		}
-		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := g.config.Worker.Pace(callCtx, PaceCall{Task: key.Task, Run: key.Number, Percent: percent, Epoch: epoch})
 		cancel()
 		if g.finishPace(r, percent, err) {
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -90,7 +90,7 @@
 	if from.incarnation != seen.Life {
 		from.clock = 0
 	}
-	return g.applyLocked(seen, from)
+	return g.applyRunsAndEndsLocked(seen, from)
 }
 
 // pollStart is the state known when a poll was sent.
@@ -194,9 +194,9 @@
 	g.signal()
 }
 
-// applyLocked applies the runs and ends of a poll and reports whether they contain news other
-// than measurements.
-func (g *Guardian) applyLocked(seen Look, from pollStart) (news bool) {
+// applyRunsAndEndsLocked applies the runs and ends of a poll and reports whether they contain
+// news other than measurements.
+func (g *Guardian) applyRunsAndEndsLocked(seen Look, from pollStart) (news bool) {
 	listed := make(map[accountant.RunKey]bool, len(seen.Runs))
 	for _, s := range seen.Runs {
 		key := accountant.RunKey{Task: s.Task, Number: s.Run}
@@ -265,6 +265,8 @@
 	return r.startUnconfirmed && r.state == stopping && r.startExpiresAt > 0 && clock > r.startExpiresAt
 }
 
+// pollIsConclusive reports whether a poll sent at pollSentAt that does not list the run shows
+// that the worker does not have it. While the start has not been answered, no poll does.
 func (r *run) pollIsConclusive(pollSentAt time.Time) bool {
 	switch r.state {
 	case starting:
--- a/internal/worker/guardian/start_expiry_test.go
+++ b/internal/worker/guardian/start_expiry_test.go
@@ -16,7 +16,7 @@
 
 // Guards against a task that is blocked by a stop without an answer. Its start was not
 // answered either, and the worker refuses the start once it has expired.
-func TestUnansweredStartHoldsItsTaskUntilItExpires(t *testing.T) {
+func TestUnansweredStartBlocksItsTaskUntilItExpires(t *testing.T) {
 	tests := []struct {
 		name   string
 		clock  func(time.Duration) time.Duration // of the worker
--- a/internal/worker/guardian/unanswered_start_test.go
+++ b/internal/worker/guardian/unanswered_start_test.go
@@ -221,7 +221,7 @@
 	e.own(1)
 	e.order(1, messenger.WorkStart, 0, 1)
 	e.until("a run", func() bool { return e.confirmed() == 1 })
-	time.Sleep(callLimit + 2*callPause)
+	time.Sleep(callTimeout + 2*callPause)
 	worker.withLock(func() {
 		if len(worker.stops) > 0 {
 			t.Errorf("stopped %+v", worker.stops)
--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -99,7 +99,7 @@
 		if done {
 			return
 		}
-		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := g.config.Worker.Stop(callCtx, StopCall{Task: key.Task, Run: key.Number, Epoch: epoch})
 		cancel()
 		if err == nil {
