--- a/internal/control/bookkeeper/apply.go
+++ b/internal/control/bookkeeper/apply.go
@@ -7,20 +7,20 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// OvercommitError is returned for a start that would exceed the capacity of the
+// ErrOvercommitted is returned for a start that would exceed the capacity of the
 // VM.
-type OvercommitError struct{ Task, VM string }
+type ErrOvercommitted struct{ Task, VM string }
 
-func (e OvercommitError) Error() string {
+func (e ErrOvercommitted) Error() string {
 	return fmt.Sprintf("task %s does not fit on VM %s: committed resources would exceed its capacity", e.Task, e.VM)
 }
 
-// InvalidRecordError is returned for a record that is not valid in the current
+// ErrInvalidRecord is returned for a record that is not valid in the current
 // state, such as the end of an attempt that holds no resources. The state is
 // unchanged. Subject is the task, VM or claim key of the record.
-type InvalidRecordError struct{ Subject, Reason string }
+type ErrInvalidRecord struct{ Subject, Reason string }
 
-func (e InvalidRecordError) Error() string {
+func (e ErrInvalidRecord) Error() string {
 	return fmt.Sprintf("record for %q rejected: %s", e.Subject, e.Reason)
 }
 
@@ -72,7 +72,7 @@
 func (b *Books) completeByEarlierAttempt(r *Record) error {
 	t := b.s.Tasks[r.DoneBefore.Task]
 	if t == nil || t.Final() || r.DoneBefore.Attempt > t.Attempt {
-		return InvalidRecordError{r.DoneBefore.Task, fmt.Sprintf("task is unknown, has ended or has no attempt %d", r.DoneBefore.Attempt)}
+		return ErrInvalidRecord{r.DoneBefore.Task, fmt.Sprintf("task is unknown, has ended or has no attempt %d", r.DoneBefore.Attempt)}
 	}
 	b.update(r, t, func(t *Task) {
 		if t.Holds() {
@@ -94,7 +94,7 @@
 func (b *Books) transition(r *Record, id string, from messenger.TaskState, f func(*Task)) error {
 	t := b.s.Tasks[id]
 	if t == nil || t.State != from {
-		return InvalidRecordError{id, fmt.Sprintf("task is not in state %s", from)}
+		return ErrInvalidRecord{id, fmt.Sprintf("task is not in state %s", from)}
 	}
 	b.update(r, t, f)
 	return nil
@@ -131,7 +131,7 @@
 func (b *Books) submit(r *Record) error {
 	id := r.Submitted.Spec.ID
 	if b.s.Tasks[id] != nil {
-		return InvalidRecordError{id, "task already exists"}
+		return ErrInvalidRecord{id, "task already exists"}
 	}
 	t := &Task{
 		Spec: r.Submitted.Spec, Digest: r.Submitted.Digest, Order: b.s.NextOrder,
@@ -146,7 +146,7 @@
 func (b *Books) cancel(r *Record) error {
 	t := b.s.Tasks[r.Cancelled.Task]
 	if t == nil || t.Final() || t.Holds() {
-		return InvalidRecordError{r.Cancelled.Task, "task is unknown, has ended or must be stopped first"}
+		return ErrInvalidRecord{r.Cancelled.Task, "task is unknown, has ended or must be stopped first"}
 	}
 	b.update(r, t, func(t *Task) { t.State, t.Reason = messenger.TaskCancelled, "" })
 	return nil
@@ -173,7 +173,7 @@
 	case r.Throttled != nil:
 		t := b.s.Tasks[r.Throttled.Task]
 		if t == nil || !t.Holds() {
-			return InvalidRecordError{r.Throttled.Task, "task holds no resources"}
+			return ErrInvalidRecord{r.Throttled.Task, "task holds no resources"}
 		}
 		t.Percent = r.Throttled.Percent
 		return nil
@@ -186,7 +186,7 @@
 func (b *Books) changeAttempt(r *Record, id string, attempt int64, f func(*Task)) error {
 	t := b.s.Tasks[id]
 	if t == nil || !t.Holds() || t.Attempt != attempt {
-		return InvalidRecordError{id, fmt.Sprintf("attempt %d holds no resources", attempt)}
+		return ErrInvalidRecord{id, fmt.Sprintf("attempt %d holds no resources", attempt)}
 	}
 	b.update(r, t, f)
 	return nil
@@ -198,10 +198,10 @@
 func (b *Books) start(r *Record) error {
 	t, v := b.s.Tasks[r.Started.Task], b.s.VMs[r.Started.VM]
 	if t == nil || v == nil || t.State != messenger.TaskQueued || r.Started.Attempt != t.Attempt+1 {
-		return InvalidRecordError{r.Started.Task, fmt.Sprintf("attempt %d cannot start on VM %q: task or VM is unknown, task is not queued, or attempt is not the next one", r.Started.Attempt, r.Started.VM)}
+		return ErrInvalidRecord{r.Started.Task, fmt.Sprintf("attempt %d cannot start on VM %q: task or VM is unknown, task is not queued, or attempt is not the next one", r.Started.Attempt, r.Started.VM)}
 	}
 	if !b.Committed(r.Started.VM).Add(t.Spec.Needs).Fits(v.Seen.Capacity.Total) {
-		return OvercommitError{r.Started.Task, r.Started.VM}
+		return ErrOvercommitted{r.Started.Task, r.Started.VM}
 	}
 	b.update(r, t, func(t *Task) {
 		t.StartedOn, t.StartedBy, t.Confirmed = r.Started.VM, r.Started.Incarnation, false
@@ -215,7 +215,7 @@
 	e := r.Ended
 	t := b.s.Tasks[e.Task]
 	if t == nil {
-		return InvalidRecordError{e.Task, "task does not exist"}
+		return ErrInvalidRecord{e.Task, "task does not exist"}
 	}
 	vm := b.s.VMs[t.VM]
 	vmName := t.VM
@@ -263,14 +263,14 @@
 		v.Seen = *r.VMSeen
 	case r.VMGone != nil:
 		if len(b.onVM[r.VMGone.VM]) > 0 {
-			return InvalidRecordError{r.VMGone.VM, "VM cannot be removed, tasks hold its resources"}
+			return ErrInvalidRecord{r.VMGone.VM, "VM cannot be removed, tasks hold its resources"}
 		}
 		delete(b.s.VMs, r.VMGone.VM)
 		delete(b.onVM, r.VMGone.VM)
 	case r.Quarantine != nil:
 		v := b.s.VMs[r.Quarantine.VM]
 		if v == nil {
-			return InvalidRecordError{r.Quarantine.VM, "unknown VM"}
+			return ErrInvalidRecord{r.Quarantine.VM, "unknown VM"}
 		}
 		if r.Quarantine.Reason != "" {
 			v.Quarantines++
@@ -285,14 +285,14 @@
 	case r.Claimed != nil:
 		k := claimKey(r.Claimed.Tenant, r.Claimed.Key)
 		if b.s.Claims[k] != nil {
-			return InvalidRecordError{r.Claimed.Key, "key is already claimed"}
+			return ErrInvalidRecord{r.Claimed.Key, "key is already claimed"}
 		}
 		b.s.Claims[k] = &Claim{Claimed: *r.Claimed, At: r.At, State: messenger.ClaimGranted}
 	case r.ClaimClosed != nil:
 		k := claimKey(r.ClaimClosed.Tenant, r.ClaimClosed.Key)
 		c := b.s.Claims[k]
 		if c == nil || c.RequestID != r.ClaimClosed.RequestID || c.State == messenger.ClaimSettled {
-			return InvalidRecordError{r.ClaimClosed.Key, fmt.Sprintf("key has no open claim of request %q", r.ClaimClosed.RequestID)}
+			return ErrInvalidRecord{r.ClaimClosed.Key, fmt.Sprintf("key has no open claim of request %q", r.ClaimClosed.RequestID)}
 		}
 		switch r.ClaimClosed.Outcome {
 		case messenger.OutcomeNotRun:
--- a/internal/control/placer/filter.go
+++ b/internal/control/placer/filter.go
@@ -117,5 +117,5 @@
 	if best == "" {
 		return "the cell has no known VM"
 	}
-	return fmt.Sprintf("no VM accepts the task: %s on %d of %d VMs", best, counts[best], len(r.vms))
+	return fmt.Sprintf("no VM accepts the task; most frequent reason: %s (%d of %d VMs)", best, counts[best], len(r.vms))
 }
--- a/internal/control/placer/ladder_test.go
+++ b/internal/control/placer/ladder_test.go
@@ -93,8 +93,8 @@
 func TestLadderDoesNotOscillate(t *testing.T) {
 	// The pressure of a service stays near its objective, and reports lag and
 	// are noisy. Without the gap between the thresholds and the wait for newer
-	// reports, tasks would be throttled and released in rotation, and each
-	// change would disturb the service.
+	// reports, tasks would be throttled and released alternately, and each
+	// change would affect the service.
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Float64Range(0.3, 1.2).Draw(t, "base")
 		m := loadedCell(0, 1)
@@ -219,8 +219,9 @@
 
 func TestStartsAfterLastReportCount(t *testing.T) {
 	// The last report of a VM shows low pressure, but three interfering tasks
-	// started after it. Judged by the report alone, the VM would attract the
-	// next task as well, and so would each VM in rotation.
+	// started after it. If only the report counted, the VM would attract the
+	// next task as well, and one VM after the other would get many tasks at
+	// once.
 	m := loadedCell(0, 0.5)
 	m.s.VMs[1].Services = []string{"depth"}
 	for i := range 3 {
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -100,8 +100,8 @@
 	Inputs  map[string]string
 }
 
-// Hold holds a queued task that can never run under the current fleet text and
-// VMs.
+// Hold takes a task that can never run under the current fleet text and VMs out
+// of the queue.
 type Hold struct {
 	TaskID string
 	Reason string
--- a/internal/control/placer/score.go
+++ b/internal/control/placer/score.go
@@ -21,7 +21,7 @@
 	// see overridesPrediction.
 	overrideAfter       = 20 * time.Second
 	urgentOverrideAfter = 2 * time.Second
-	negligibleEffect    = 0.005 // effects below this are ignored
+	negligibleEffect    = 0.005 // smaller effects do not cause a refusal, throttle or move
 
 	noticeableVMShare = 0.06 // share of a VM, see classSizeFactor
 
--- a/internal/control/placer/share_test.go
+++ b/internal/control/placer/share_test.go
@@ -15,7 +15,8 @@
 
 func TestSharesConverge(t *testing.T) {
 	// Each tenant has more queued tasks than fit, and tasks end at random.
-	// Dominant shares divided by the weights must converge.
+	// Dominant shares divided by the weights must converge to within two tasks
+	// of the tenant with the smallest weight.
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{1, rapid.Float64Range(0.5, 3).Draw(t, "w1"), rapid.Float64Range(0.5, 3).Draw(t, "w2")}
 		var tenants []describer.Tenant
