--- a/internal/agent/gatekeeper/upstream.go
+++ b/internal/agent/gatekeeper/upstream.go
@@ -11,8 +11,8 @@
 // meanTimeWeight is the inverse weight of one request in the mean request time.
 const meanTimeWeight = 16
 
-// upstream is one local upstream. The Gatekeeper's lock guards its fields; the
-// pool has a lock of its own.
+// upstream is one local upstream. The Gatekeeper's lock guards the fields that
+// change; the pool has a lock of its own.
 type upstream struct {
 	id          string
 	service     string
