--- a/internal/job/accountant/report.go
+++ b/internal/job/accountant/report.go
@@ -95,8 +95,8 @@
 	vm.OrderSeq = 0
 	for _, r := range vm.Runs {
 		r.resetOrders()
-		// A start that the earlier process sent and that was never seen running may be
-		// carried out seconds later, and the new process does not know it. So the run
+		// A start that the earlier process sent and that was never reported as running may
+		// be carried out seconds later, and the new process has no record of it. So the run
 		// keeps its resources until its stop is certain to take effect before the start.
 		if r.Unconfirmed = r.Unconfirmed || restarted && r.StartedAt.IsZero(); r.Unconfirmed {
 			r.Order = orderUnknown
--- a/internal/job/accountant/run.go
+++ b/internal/job/accountant/run.go
@@ -23,7 +23,6 @@
 const PaceUnknown = -1
 
 // addRun adds a run to its task and VM, and reserves its resources.
-
 func (a *Accountant) addRun(r *Run) {
 	t, spec := r.Task, r.Task.Step.Spec
 	t.LastNumber = max(t.LastNumber, r.Number)
--- a/internal/job/accountant/state.go
+++ b/internal/job/accountant/state.go
@@ -91,7 +91,7 @@
 	From, To string        // VMs
 	For      *Step         // step that gets the freed capacity; nil: best-effort tasks
 	Hold     time.Duration // how long capacity is held for it on To once its run has ended
-	Until    time.Time     // only after this it may start on another VM than To
+	Until    time.Time     // until then it may start only on To
 }
 
 // SetMove records the move of a task that is stopped to be restarted elsewhere.
--- a/internal/job/accountant/unconfirmed_test.go
+++ b/internal/job/accountant/unconfirmed_test.go
@@ -57,7 +57,8 @@
 }
 
 // Guards against a task that waits for a start that was ordered for an ended incarnation of
-// the worker. The new incarnation refuses it, and the agent's new process is informed of it.
+// the worker. The new incarnation refuses it, and the agent's new process is given the start
+// to make sure that it is refused.
 func TestUnconfirmedRunsEndWithWorkerIncarnation(t *testing.T) {
 	tests := []struct {
 		name              string
