--- a/internal/job/planner/defragment.go
+++ b/internal/job/planner/defragment.go
@@ -47,8 +47,8 @@
 	return append(steps, slices.DeleteFunc(waiting, func(s *accountant.Step) bool { return seen[s] })...)
 }
 
-// findFreeingMove finds the smallest long-running run that can move to another VM and whose
-// place a task of the step fits in.
+// findFreeingMove finds the smallest long-running run that can move to another VM and in whose
+// place a task of the step fits.
 func (r *round) findFreeingMove(s *accountant.Step, count map[*accountant.VM]int, ongoing movesInProgress) (best Move, ok bool) {
 	for _, m := range r.vmStates {
 		if ongoing.vms[m.vm.Name] {
--- a/internal/job/planner/evict.go
+++ b/internal/job/planner/evict.go
@@ -17,8 +17,8 @@
 	// starvedFor is how long a run must be throttled that far: variations between reports are
 	// shorter.
 	starvedFor = 700 * time.Millisecond
-	// maxLostWork is how much work of a run an eviction may discard: about as much as the run
-	// would lose by being stalled.
+	// maxLostWork is how much work of a run an eviction may discard: about the time for which
+	// the run would stall if it were not evicted.
 	maxLostWork = time.Second
 	// maxEvictions bounds a round, so that a VM with free capacity does not get too many tasks
 	// at once.
@@ -59,8 +59,8 @@
 	return evicted
 }
 
-// starved reports whether a run has been throttled almost to zero for long and a stop loses
-// little work.
+// starved reports whether a run has been throttled almost to zero for at least starvedFor and
+// a stop loses little work.
 func (r *round) starved(run *accountant.Run) bool {
 	s := run.Step()
 	return s.Spec.Fills && !s.Spec.Gang && run.State == accountant.Running && run.VM.Attached &&
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -52,8 +52,8 @@
 	return accountant.Moving{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: MoveHold, Until: now.Add(MoveHold)}
 }
 
-// group is the long-running runs of one image on a VM. They move together: any one that stayed
-// would keep off the same best-effort images.
+// group holds the long-running runs of one image on a VM. They move together: any one that
+// stayed would keep off the same best-effort images.
 type group struct {
 	host      *vmState
 	image     string // empty if there is no run
@@ -248,8 +248,9 @@
 	return true
 }
 
-// withinMaxAway reports whether the runs can stop together without any step exceeding its
-// limit of unavailable tasks.
+// withinMaxAway reports whether the runs can stop together without more tasks of any step
+// becoming unavailable than its limit allows. Tasks that are unavailable already are not
+// counted: mayMove excludes the runs of their steps.
 func withinMaxAway(lists ...[]*accountant.Run) bool {
 	moving := make(map[*accountant.Step]int)
 	for _, runs := range lists {
@@ -273,7 +274,7 @@
 	return false
 }
 
-// movesInProgress is the moves that have not been completed.
+// movesInProgress describes the moves that have not been completed.
 type movesInProgress struct {
 	unavailable, limit int                       // long-running tasks that are unavailable by moves, and the maximum
 	vms                map[string]bool           // VMs that take part
--- a/internal/job/planner/pace.go
+++ b/internal/job/planner/pace.go
@@ -13,7 +13,7 @@
 const (
 	paceLow        = 15                      // percent of full pace
 	paceLowAfter   = 900 * time.Millisecond  // time over target, longer than a single bad report
-	paceStopAfter  = 2200 * time.Millisecond // time over target until best-effort tasks are stalled
+	paceStopAfter  = 2200 * time.Millisecond // time over target until best-effort tasks are throttled to zero
 	paceRaiseAfter = 900 * time.Millisecond  // time under target before each step up
 	paceMiddle     = 50
 	paceFull       = 100
--- a/internal/job/planner/pace_test.go
+++ b/internal/job/planner/pace_test.go
@@ -54,8 +54,8 @@
 }
 
 // Guards against users who wait too long because of a best-effort task. The long-running task
-// stays over its target however much the other one is throttled: that one must be stalled
-// before the bound.
+// stays over its target however much the other one is throttled: that one must be throttled
+// to zero before the bound.
 func TestBestEffortStallsBeforeBound(t *testing.T) {
 	b, longRunning, bestEffort := newPacedFixture()
 	paces := replayTails(b, longRunning, bestEffort, repeat(40, 20))
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -1,6 +1,7 @@
 // Package planner decides which tasks start on which VMs, and which runs to stop, move or
 // throttle. It performs no I/O: it reads the accountant's state and the time passed in, and
-// changes nothing, except that Learn updates the learner and Paces the throttling state of VMs.
+// changes nothing, except that Learn updates the learner, Paces updates the throttling state of
+// VMs, and rounds store results in Memory.
 package planner
 
 import (
@@ -25,8 +26,8 @@
 	// longRunningUtilization is the share of their declared processors that long-running tasks
 	// use on average.
 	longRunningUtilization = 0.5
-	// tooLateFactor is after how many objectives since its acceptance a job has no value for
-	// its caller any more.
+	// tooLateFactor times its objective is the time since a job was due after which it has no
+	// value for its caller any more.
 	tooLateFactor = 3
 	// maxStarts bounds one round, so that a large burst does not delay reports.
 	maxStarts = 64
@@ -175,8 +176,8 @@
 	return r.start(t, m, number)
 }
 
-// placementClass is the best-effort tasks that any VM of their service may run, so that
-// placement depends on their size only.
+// placementClass identifies best-effort tasks that any VM of their service may run, so that
+// within a class placement depends on the size of a task only.
 type placementClass struct{ queue, image string }
 
 // knownUnplaceable reports whether a step needs at least as much as one of its class that fit
--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -22,7 +22,7 @@
 	// again.
 	yieldCooldown = 1500 * time.Millisecond
 	// maxYieldShare is the share of the processors reserved for long-running tasks that may be
-	// unavailable, whatever the cause.
+	// unavailable, whatever the cause. Tasks that have never run do not count as unavailable.
 	maxYieldShare = 0.2
 	// maxYields bounds a round.
 	maxYields = 3
