--- a/internal/job/follower/follower.go
+++ b/internal/job/follower/follower.go
@@ -15,8 +15,8 @@
 
 // Watch and retry durations.
 const (
-	// watchWait bounds the age of the policy: a watch that returns no changes proves that it is
-	// the newest. Operators expect a change to apply within 2 s.
+	// watchWait bounds the age of the policy: a watch that returns no changes proves that the
+	// policy is the newest. Operators expect a change to apply within 2 s.
 	watchWait  = 900 * time.Millisecond
 	retryDelay = 100 * time.Millisecond
 	// maxListLag is how long lists may be behind the newest known revision. After it the store
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -34,7 +34,8 @@
 	hintRetryDelay    = 100 * time.Millisecond
 	maxHintRetryDelay = time.Second
 	// hintTimeout is how long a hint is repeated. By then, a stalled watch of the owner has
-	// ended. It is shorter than the time for which the owner keeps ended jobs.
+	// ended. It is shorter than the time for which the owner keeps ended jobs, so a late hint
+	// cannot run a job again that has ended and was removed.
 	hintTimeout = 15 * time.Second
 )
 
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -18,8 +18,8 @@
 	adviceQueueTime = 2 * time.Second
 )
 
-// askAdvice calls the advice service. It sends one request at a time, since the service accepts
-// only one at a time from each VM.
+// askAdvice calls the advising service. It sends one request at a time, since the service
+// accepts only one at a time from each VM.
 func (o *owner) askAdvice(ctx context.Context, now time.Time) {
 	if o.advicePending || o.s.config.Advise == nil {
 		return
@@ -46,7 +46,7 @@
 	}()
 }
 
-// adviceResult is the answer of the advice service.
+// adviceResult is the answer of the advising service.
 type adviceResult struct {
 	question     planner.Question
 	step         string
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -37,8 +37,8 @@
 	// maxPolicyAge is the age of the policy above which no tasks start. Watches confirm it
 	// every second; operators expect starts to end within 5 s after they take a zone out.
 	maxPolicyAge = 3 * time.Second
-	// endedJobRetention is how long an ended job stays known. Callers need two minutes; late
-	// repeats of a submission come within seconds.
+	// endedJobRetention is how long an ended job is kept. Callers query its state for two
+	// minutes; late repeats of a submission arrive within seconds.
 	endedJobRetention   = 10 * time.Minute
 	removeEndedInterval = time.Minute
 	// memberExpiryFactor times the longest lease is the time without a report after which a VM
@@ -87,7 +87,7 @@
 	reconciled          bool
 	policyStale         bool // the policy is too old to start tasks
 	watchFrom           int64
-	advicePending       bool // a request to the advice service is in flight
+	advicePending       bool // a request to the advising service is in flight
 	flushing            bool
 	flushAfter          time.Time // no write before this
 	learnedStoredAt     time.Time // when learned interference data was last stored
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// rotate stops long-running tasks to resume others that have not run for long.
+// rotate stops long-running tasks so that others that have been unavailable for long can start
+// in their place.
 func (o *owner) rotate(now time.Time) {
 	for _, t := range planner.Turns(o.input(now)) {
 		if o.orderStop(t.Run, "takes turns with a lasting task") {
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -66,8 +66,8 @@
 	// PolicyAge returns the time since the policy was last confirmed to be the newest; nil if
 	// it always is.
 	PolicyAge func() time.Duration
-	// Advise asks the advice service which workers may run a step and returns a ticket for each
-	// that may; nil without such a service.
+	// Advise asks the advising service which workers may run a step and returns a ticket for
+	// each that may; nil without such a service.
 	Advise func(ctx context.Context, step string, workers []string) (map[string]string, error)
 	// StoreFor stores a record for an entry that cannot reach the store.
 	StoreFor func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
