--- a/internal/request/admitter/admitter.go
+++ b/internal/request/admitter/admitter.go
@@ -105,7 +105,7 @@
 	}
 	expected := q.expectedWait(tenant, capacity)
 	if expected > a.config.MaxWait || now.Add(expected+q.serviceTime).After(o.Deadline) {
-		return nil, ErrRefused{Reason: "all upstreams are taken", RetryAfter: max(expected, minRetryAfter)}
+		return nil, ErrRefused{Reason: "no upstream has a free slot", RetryAfter: max(expected, minRetryAfter)}
 	}
 	w := &waiter{
 		tenant: tenant, deadline: o.Deadline, expiry: minTime(o.Deadline.Add(-q.serviceTime), now.Add(a.config.MaxWait)),
@@ -176,7 +176,7 @@
 func (a *Admitter) dispatch(q *queue, capacity int) {
 	now := a.config.Now()
 	for _, w := range q.removeExpired(now) {
-		w.result <- ErrRefused{Reason: "all upstreams are taken", RetryAfter: max(q.expectedWait(w.tenant, capacity), a.config.MaxWait)}
+		w.result <- ErrRefused{Reason: "no upstream has a free slot", RetryAfter: max(q.expectedWait(w.tenant, capacity), a.config.MaxWait)}
 	}
 	for q.inUse < capacity {
 		w := q.popNext()
--- a/internal/request/balancer/balancer.go
+++ b/internal/request/balancer/balancer.go
@@ -81,8 +81,8 @@
 
 // Choose returns the better of two random candidates of the entry's zone while that
 // zone has free capacity, otherwise of all zones. If every candidate is full, it
-// returns the least loaded one with Full set. An upstream with a probe due is chosen
-// first.
+// returns the least loaded one with Full set. While ejection is allowed, an upstream
+// with a probe due is chosen first.
 func (b *Balancer) Choose(list []Candidate) Choice {
 	eject := b.ejectionAllowed(list)
 	if i := findProbeDue(list); i >= 0 && eject {
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -23,7 +23,7 @@
 	// repeats of a key.
 	MaxKeptBodyBytes          = 16 << 10
 	claimAttemptTimeout       = time.Second
-	unavailableAttemptTimeout = 100 * time.Millisecond
+	unavailableAttemptTimeout = 100 * time.Millisecond // for the only attempt during unavailablePeriod
 	// claimRetryPeriod bounds the retries of a claim while the owner can't grant
 	// any, as in a store outage. A waiting request occupies a slot that others
 	// could use, and gets its answer as soon as the claim is abandoned.
--- a/internal/request/receiver/receiver_test.go
+++ b/internal/request/receiver/receiver_test.go
@@ -78,7 +78,7 @@
 			w.Header().Set("X-Request-Id", "another")
 			io.WriteString(w, "another's answer")
 		}},
-		{"no request id", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "whose?") }},
+		{"no request id", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "no request id") }},
 		{"short", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.Header().Set("Content-Length", "100")
--- a/internal/request/receiver/route.go
+++ b/internal/request/receiver/route.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	stackCandidates = 32 // buffers on the stack; more candidates need an allocation
+	stackCandidates = 32 // candidates that fit on the stack; more need an allocation
 	maxFullPause    = 2 * time.Millisecond
 	noUpstreamPause = 20 * time.Millisecond
 	minAttemptTime  = 20 * time.Millisecond
-	// attemptLatencyMultiple is the minimum timeout of a first attempt that is cut short
-	// to leave time for another upstream, as a multiple of the typical latency.
+	// attemptLatencyMultiple limits shortened first attempts: the timeout of a first
+	// attempt is only reduced, to leave time for another upstream, if the rest is at
+	// least this multiple of the typical latency.
 	attemptLatencyMultiple = 4
 	// slotRetryPeriod is how long after its arrival an admitted request is retried while
 	// upstreams are full. Entries admit requests without knowing each other's latest
@@ -52,7 +53,7 @@
 		u := r.chooseUpstream(c, s)
 		outcome := messenger.OutcomeNotRun
 		if u == nil {
-			s.reason, s.retryAfter = "no upstream of the service can take it", defaultRetryAfter
+			s.reason, s.retryAfter = "no upstream of the service can take the request", defaultRetryAfter
 			pause(ctx, noUpstreamPause)
 		} else {
 			reply := r.attempt(ctx, c, s, u)
--- a/internal/request/tracker/tracker.go
+++ b/internal/request/tracker/tracker.go
@@ -42,7 +42,7 @@
 	config   Config
 	events   chan event
 	snapshot atomic.Pointer[Snapshot]
-	entries  atomic.Int64        // known entries at the last reply to an agent
+	entries  atomic.Int64        // live entries at the last reply to an agent
 	sessions map[string]*session // owned by Run
 }
 
@@ -302,7 +302,7 @@
 	t.snapshot.Store(next)
 }
 
-// CountEntries returns the number of known entries, including this one.
+// CountEntries returns the number of live entries, including this one.
 func (t *Tracker) CountEntries() int { return max(1, int(t.entries.Load())) }
 
 // Snapshot returns the current snapshot. It is never nil.
--- a/internal/request/tracker/tracker_test.go
+++ b/internal/request/tracker/tracker_test.go
@@ -174,9 +174,10 @@
 	}
 }
 
-// TestAgentRestartedAfterItsClockJumpedBack restarts an agent with a lower incarnation
-// number. It must be accepted as soon as the connection of the previous incarnation has
-// ended, and also if that one has only stopped sending heartbeats.
+// TestAgentRestartedAfterItsClockJumpedBack restarts an agent whose clock was set back, so
+// that its incarnation, the start time, is lower. It must be accepted as soon as the
+// connection of the previous incarnation has ended, and also if that one has only stopped
+// sending heartbeats.
 func TestAgentRestartedAfterItsClockJumpedBack(t *testing.T) {
 	ends := map[string]func(f *fixture){
 		"connection ended": func(f *fixture) { f.conn.Close() },
