--- a/internal/kernel/reporter/catalogue_kernel.go
+++ b/internal/kernel/reporter/catalogue_kernel.go
@@ -23,6 +23,6 @@
 	{StopTimedOut, log.ErrorLevel, "service stop timed out", "A service did not end within the stop limit and was abandoned."},
 	{ProcessStarted, log.InfoLevel, "process started", "The process has read its settings and starts its services."},
 	{ProcessStopped, log.InfoLevel, "process stopped", "The process has shut down gracefully."},
-	{SettingsReloaded, log.InfoLevel, "settings reloaded", "The settings file has changed; the keys say what, and whether it is in force without a restart."},
+	{SettingsReloaded, log.InfoLevel, "settings reloaded", "The settings file has changed; changed lists the settings, in-force says whether they apply without a restart."},
 	{SettingsRefused, log.ErrorLevel, "settings refused", "The settings file can't be read or contains errors; the previous settings stay in force."},
 }
--- a/internal/kernel/spooler/spooler.go
+++ b/internal/kernel/spooler/spooler.go
@@ -98,7 +98,7 @@
 			return nil
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, io.ErrShortWrite) {
-			return batch // the reader is gone and can't be notified
+			return batch // the reader is disconnected, so the error can't be reported to it
 		}
 		time.Sleep(writeRetryPause)
 	}
--- a/internal/store/keeper/keeper.go
+++ b/internal/store/keeper/keeper.go
@@ -105,7 +105,7 @@
 type WatchOptions struct {
 	Prefix string
 	After  int64         // return changes with a revision above this
-	Wait   time.Duration // how long the service may hold the answer
+	Wait   time.Duration // how long the service may delay the answer
 }
 
 // WatchResult is the result of a watch. Revision is that of the service when it
--- a/internal/store/observer/observer.go
+++ b/internal/store/observer/observer.go
@@ -36,7 +36,7 @@
 	return o.now().Sub(o.reachedAt)
 }
 
-// Lost reports whether the latest calls all failed.
+// Lost reports whether at least the last lostAfterFailures calls all failed.
 func (o *Observer) Lost() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,7 +53,7 @@
 		if sentAt.After(o.reachedAt) {
 			o.reachedAt = sentAt
 		}
-	case ctx.Err() == nil: // otherwise the caller gave up, which does not indicate a failure
+	case ctx.Err() == nil: // otherwise the caller cancelled the call, which is no failure of the store
 		o.failures++
 	}
 }
--- a/internal/wire/messenger/messenger.go
+++ b/internal/wire/messenger/messenger.go
@@ -178,7 +178,7 @@
 	Tenant    string `json:"tenant"`
 	Service   string `json:"service"`
 	Key       string `json:"key"`        // the caller's Idempotency-Key
-	Digest    string `json:"digest"`     // of method, path and body; the same key with a different digest is an error
+	Digest    string `json:"digest"`     // of service, method, path and body; the same key with a different digest is an error
 	RequestID string `json:"request-id"` // of the claiming request; a repeated claim with the same id is granted again
 }
 
@@ -188,7 +188,7 @@
 // States of a claim.
 const (
 	ClaimGranted  ClaimState = "granted"  // the claiming request may run
-	ClaimHeld     ClaimState = "held"     // another request is running, or failed while running: outcome unknown
+	ClaimHeld     ClaimState = "held"     // another request with the key is running, or its outcome is unknown, as after a crash
 	ClaimSettled  ClaimState = "settled"  // the request ran; the answer is attached if it was small enough
 	ClaimMismatch ClaimState = "mismatch" // the key was used for a different request
 )
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -127,7 +127,7 @@
 }
 
 // WorkHint notifies the owner of a record that an entry has just stored, so that the
-// owner does not depend on its watch.
+// owner need not wait for its watch.
 type WorkHint struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
