--- a/internal/bench/measurer/apply.go
+++ b/internal/bench/measurer/apply.go
@@ -16,7 +16,7 @@
 		t := p.tasks[th.TaskID]
 		v := p.findVM(t.VM)
 		t.Percent = th.Percent
-		v.spec.Acted = p.clock()
+		v.spec.LastAdjustedAt = p.clock()
 		v.endPlacement(t.ID, p.clock())
 		v.placements = append(v.placements, learner.Placement{TaskID: t.ID, Class: t.Class, From: p.clock(), Percent: th.Percent})
 		p.tally.throttles++
@@ -25,7 +25,7 @@
 		t := p.tasks[e.TaskID]
 		t.Stopping, t.checkpointedAt = true, p.now+checkpointTime
 		t.moves++
-		p.findVM(t.VM).spec.Acted = p.clock()
+		p.findVM(t.VM).spec.LastAdjustedAt = p.clock()
 		p.tally.addEviction(p.zonesOut[p.findVM(t.VM).spec.Zone])
 	}
 }
--- a/internal/control/bookkeeper/bookkeeper.go
+++ b/internal/control/bookkeeper/bookkeeper.go
@@ -23,32 +23,32 @@
 
 // Task is the recorded state of a task.
 type Task struct {
-	Spec       messenger.TaskSpec  `json:"spec"`
-	Digest     string              `json:"digest"`
-	Order      int64               `json:"order"` // position in the submission order
-	State      messenger.TaskState `json:"state"`
-	Reason     string              `json:"reason,omitempty"`
-	Impossible bool                `json:"impossible,omitempty"`
-	Unheard    bool                `json:"unheard,omitempty"`    // held because it may have completed without a report
-	VM         string              `json:"vm,omitempty"`         // VM on which it holds resources
-	StartedOn  string              `json:"started-on,omitempty"` // VM of the latest attempt
-	StartedBy  int64               `json:"started-by,omitempty"` // incarnation of that VM's agent
-	Confirmed  bool                `json:"confirmed,omitempty"`  // the agent reported the latest attempt running
-	Attempt    int64               `json:"attempt"`
-	Stop       StopKind            `json:"stop,omitempty"`
-	Percent    int                 `json:"percent,omitempty"`
-	Failures   int                 `json:"failures,omitempty"`
-	Evictions  int                 `json:"evictions,omitempty"`
-	FailedOn   []string            `json:"failed-on,omitempty"`
-	Checkpoint string              `json:"checkpoint,omitempty"`
-	NotBefore  time.Time           `json:"not-before,omitzero"`
-	Submitted  time.Time           `json:"submitted"`
-	Changed    time.Time           `json:"changed"`
-	Decisions  []int64             `json:"decisions,omitempty"` // numbers of the last few decisions
+	Spec          messenger.TaskSpec  `json:"spec"`
+	Digest        string              `json:"digest"`
+	Order         int64               `json:"order"` // position in the submission order
+	State         messenger.TaskState `json:"state"`
+	Reason        string              `json:"reason,omitempty"`
+	Impossible    bool                `json:"impossible,omitempty"`
+	EndUnreported bool                `json:"unheard,omitempty"`    // held because it may have completed without a report
+	VM            string              `json:"vm,omitempty"`         // VM on which it holds resources
+	StartedOn     string              `json:"started-on,omitempty"` // VM of the latest attempt
+	StartedBy     int64               `json:"started-by,omitempty"` // incarnation of that VM's agent
+	Confirmed     bool                `json:"confirmed,omitempty"`  // the agent reported the latest attempt running
+	Attempt       int64               `json:"attempt"`
+	Stop          StopKind            `json:"stop,omitempty"`
+	Percent       int                 `json:"percent,omitempty"`
+	Failures      int                 `json:"failures,omitempty"`
+	Evictions     int                 `json:"evictions,omitempty"`
+	FailedOn      []string            `json:"failed-on,omitempty"`
+	Checkpoint    string              `json:"checkpoint,omitempty"`
+	NotBefore     time.Time           `json:"not-before,omitzero"`
+	Submitted     time.Time           `json:"submitted"`
+	Changed       time.Time           `json:"changed"`
+	Decisions     []int64             `json:"decisions,omitempty"` // numbers of the last few decisions
 }
 
-// Holds reports whether the task holds resources of its VM.
-func (t *Task) Holds() bool {
+// HoldsResources reports whether the task holds resources of its VM.
+func (t *Task) HoldsResources() bool {
 	return t.State == messenger.TaskStarting || t.State == messenger.TaskRunning || t.State == messenger.TaskStopping
 }
 
@@ -59,24 +59,24 @@
 
 // VM is the recorded state of a VM.
 type VM struct {
-	Seen        VMSeen    `json:"seen"`
-	Quarantined string    `json:"quarantined,omitempty"`
-	Until       time.Time `json:"until,omitzero"`
-	Quarantines int       `json:"quarantines,omitempty"` // consecutive quarantines without a success
-	// Failing lists the different tasks that failed on the VM since the last
+	Seen             VMSeen    `json:"seen"`
+	Quarantined      string    `json:"quarantined,omitempty"`
+	QuarantinedUntil time.Time `json:"until,omitzero"`
+	Quarantines      int       `json:"quarantines,omitempty"` // consecutive quarantines without a success
+	// FailedTasks lists the different tasks that failed on the VM since the last
 	// success.
-	Failing []string `json:"failing,omitempty"`
+	FailedTasks []string `json:"failing,omitempty"`
 }
 
 // Claim is the right to run a keyed request.
 type Claim struct {
 	Claimed
 	At     time.Time             `json:"at"`
-	State  messenger.ClaimState  `json:"state"` // granted, held or settled
+	State  messenger.ClaimState  `json:"state"` // granted, held or resolved
 	Answer *messenger.KeptAnswer `json:"answer,omitempty"`
 }
 
-// state is the part of Books that is encoded in snapshots.
+// state is the part of CellState that is encoded in snapshots.
 type state struct {
 	Epoch        int64                         `json:"epoch"`
 	Owner        string                        `json:"owner"`
@@ -101,112 +101,112 @@
 	Bytes int    `json:"bytes"`
 }
 
-// Books is the state of a cell. It must be used from a single goroutine.
-type Books struct {
-	s      state
+// CellState is the state of a cell. It must be used from a single goroutine.
+type CellState struct {
+	data   state
 	onVM   map[string]map[string]*Task // tasks that hold resources, by VM
 	queued map[string]*Task
 	counts map[messenger.TaskState]int
 }
 
 // New returns the state of a cell without tasks, VMs or claims.
-func New() *Books {
-	b := &Books{s: state{
+func New() *CellState {
+	s := &CellState{data: state{
 		Tasks: make(map[string]*Task), VMs: make(map[string]*VM),
 		Claims: make(map[string]*Claim), Decisions: make(map[int64]*messenger.Decision),
 		NextDecision: 1, NextOrder: 1,
 	}}
-	b.buildIndexes()
-	return b
+	s.buildIndexes()
+	return s
 }
 
 // Decode returns the state encoded in a snapshot.
-func Decode(snapshot []byte) (*Books, error) {
-	b := New()
-	if err := json.Unmarshal(snapshot, &b.s); err != nil {
+func Decode(snapshot []byte) (*CellState, error) {
+	s := New()
+	if err := json.Unmarshal(snapshot, &s.data); err != nil {
 		return nil, fmt.Errorf("decode snapshot of cell: %w", err)
 	}
-	b.buildIndexes()
-	return b, nil
+	s.buildIndexes()
+	return s, nil
 }
 
 // Encode returns a snapshot. Equal states give equal bytes.
-func (b *Books) Encode() ([]byte, error) {
-	out, err := json.Marshal(b.s)
+func (s *CellState) Encode() ([]byte, error) {
+	out, err := json.Marshal(s.data)
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot of cell: %w", err)
 	}
 	return out, nil
 }
 
-func (b *Books) buildIndexes() {
-	b.onVM = make(map[string]map[string]*Task)
-	b.queued = make(map[string]*Task)
-	b.counts = make(map[messenger.TaskState]int)
-	for _, t := range b.s.Tasks {
-		b.addToIndexes(t)
+func (s *CellState) buildIndexes() {
+	s.onVM = make(map[string]map[string]*Task)
+	s.queued = make(map[string]*Task)
+	s.counts = make(map[messenger.TaskState]int)
+	for _, t := range s.data.Tasks {
+		s.addToIndexes(t)
 	}
 }
 
-func (b *Books) addToIndexes(t *Task) {
-	b.counts[t.State]++
+func (s *CellState) addToIndexes(t *Task) {
+	s.counts[t.State]++
 	switch {
 	case t.State == messenger.TaskQueued:
-		b.queued[t.Spec.ID] = t
-	case t.Holds():
-		if b.onVM[t.VM] == nil {
-			b.onVM[t.VM] = make(map[string]*Task)
+		s.queued[t.Spec.ID] = t
+	case t.HoldsResources():
+		if s.onVM[t.VM] == nil {
+			s.onVM[t.VM] = make(map[string]*Task)
 		}
-		b.onVM[t.VM][t.Spec.ID] = t
+		s.onVM[t.VM][t.Spec.ID] = t
 	}
 }
 
-func (b *Books) removeFromIndexes(t *Task) {
-	b.counts[t.State]--
-	delete(b.queued, t.Spec.ID)
-	delete(b.onVM[t.VM], t.Spec.ID)
+func (s *CellState) removeFromIndexes(t *Task) {
+	s.counts[t.State]--
+	delete(s.queued, t.Spec.ID)
+	delete(s.onVM[t.VM], t.Spec.ID)
 }
 
 // Epoch returns the epoch of the latest takeover.
-func (b *Books) Epoch() int64 { return b.s.Epoch }
+func (s *CellState) Epoch() int64 { return s.data.Epoch }
 
 // Owner returns the ID of the entry that took over last.
-func (b *Books) Owner() string { return b.s.Owner }
+func (s *CellState) Owner() string { return s.data.Owner }
 
 // MaxLease returns the longest lease that may still be in force on a VM through
 // a grant of an earlier owner.
-func (b *Books) MaxLease() time.Duration { return b.s.MaxLease }
+func (s *CellState) MaxLease() time.Duration { return s.data.MaxLease }
 
 // Task returns a task, or nil. The caller must not change it.
-func (b *Books) Task(id string) *Task { return b.s.Tasks[id] }
+func (s *CellState) Task(id string) *Task { return s.data.Tasks[id] }
 
 // VM returns a VM, or nil. The caller must not change it.
-func (b *Books) VM(name string) *VM { return b.s.VMs[name] }
+func (s *CellState) VM(name string) *VM { return s.data.VMs[name] }
 
 // VMs returns the names of all VMs in alphabetical order.
-func (b *Books) VMs() []string { return sortedKeys(b.s.VMs) }
+func (s *CellState) VMs() []string { return sortedKeys(s.data.VMs) }
 
 // Tasks returns all tasks in submission order.
-func (b *Books) Tasks() []*Task { return inSubmissionOrder(b.s.Tasks) }
+func (s *CellState) Tasks() []*Task { return inSubmissionOrder(s.data.Tasks) }
 
 // Queued returns the queued tasks in submission order.
-func (b *Books) Queued() []*Task { return inSubmissionOrder(b.queued) }
+func (s *CellState) Queued() []*Task { return inSubmissionOrder(s.queued) }
 
 // CountQueued returns the number of queued tasks.
-func (b *Books) CountQueued() int { return len(b.queued) }
+func (s *CellState) CountQueued() int { return len(s.queued) }
 
 // On returns the tasks that hold resources of a VM, in submission order.
-func (b *Books) On(vm string) []*Task { return inSubmissionOrder(b.onVM[vm]) }
+func (s *CellState) On(vm string) []*Task { return inSubmissionOrder(s.onVM[vm]) }
 
 // CountOn returns how many tasks hold resources of a VM.
-func (b *Books) CountOn(vm string) int { return len(b.onVM[vm]) }
+func (s *CellState) CountOn(vm string) int { return len(s.onVM[vm]) }
 
 // Counts returns the number of tasks by state, without states that have none.
-func (b *Books) Counts() map[messenger.TaskState]int {
-	counts := make(map[messenger.TaskState]int, len(b.counts))
-	for s, n := range b.counts {
+func (s *CellState) Counts() map[messenger.TaskState]int {
+	counts := make(map[messenger.TaskState]int, len(s.counts))
+	for state, n := range s.counts {
 		if n > 0 {
-			counts[s] = n
+			counts[state] = n
 		}
 	}
 	return counts
@@ -214,38 +214,38 @@
 
 // Committed returns the resources of a VM held by tasks and upstreams. An
 // upstream that belongs to a replica task counts once.
-func (b *Books) Committed(vm string) describer.Resources {
+func (s *CellState) Committed(vm string) describer.Resources {
 	var sum describer.Resources
 	replicas := make(map[string]int64)
-	for _, t := range b.onVM[vm] {
+	for _, t := range s.onVM[vm] {
 		sum = sum.Add(t.Spec.Needs)
 		if t.Spec.Service != "" {
 			replicas[t.Spec.Service]++
 		}
 	}
-	v := b.s.VMs[vm]
+	v := s.data.VMs[vm]
 	if v == nil {
 		return sum
 	}
-	for _, h := range v.Seen.Services {
-		for n := replicas[h.Service]; n < h.Count; n++ {
-			sum = sum.Add(h.Needs)
+	for _, u := range v.Seen.Services {
+		for n := replicas[u.Service]; n < u.Count; n++ {
+			sum = sum.Add(u.Needs)
 		}
 	}
 	return sum
 }
 
 // Claim returns the claim for a key of a tenant, or nil.
-func (b *Books) Claim(tenant, key string) *Claim { return b.s.Claims[claimKey(tenant, key)] }
+func (s *CellState) Claim(tenant, key string) *Claim { return s.data.Claims[claimKey(tenant, key)] }
 
 // CountClaims returns the number of claims.
-func (b *Books) CountClaims() int { return len(b.s.Claims) }
+func (s *CellState) CountClaims() int { return len(s.data.Claims) }
 
 // OldestClaim returns when the oldest claim was made, or the zero time if there
 // are no claims.
-func (b *Books) OldestClaim() time.Time {
+func (s *CellState) OldestClaim() time.Time {
 	var oldest time.Time
-	for _, c := range b.s.Claims {
+	for _, c := range s.data.Claims {
 		if oldest.IsZero() || c.At.Before(oldest) {
 			oldest = c.At
 		}
@@ -254,10 +254,10 @@
 }
 
 // Decisions returns up to limit decisions with numbers greater than above.
-func (b *Books) Decisions(above int64, limit int) []messenger.Decision {
+func (s *CellState) Decisions(above int64, limit int) []messenger.Decision {
 	var out []messenger.Decision
-	for n := max(above+1, b.s.NextDecision-maxDecisions); n < b.s.NextDecision && len(out) < limit; n++ {
-		if d := b.s.Decisions[n]; d != nil {
+	for n := max(above+1, s.data.NextDecision-maxDecisions); n < s.data.NextDecision && len(out) < limit; n++ {
+		if d := s.data.Decisions[n]; d != nil {
 			out = append(out, *d)
 		}
 	}
@@ -265,9 +265,9 @@
 }
 
 // FindDecisions returns the decisions for which match is true, oldest first.
-func (b *Books) FindDecisions(match func(*messenger.Decision) bool) []messenger.Decision {
+func (s *CellState) FindDecisions(match func(*messenger.Decision) bool) []messenger.Decision {
 	var out []messenger.Decision
-	for _, d := range b.s.Decisions {
+	for _, d := range s.data.Decisions {
 		if match(d) {
 			out = append(out, *d)
 		}
@@ -298,7 +298,7 @@
 
 // NextOrder returns the position that the next submitted task gets in the
 // submission order.
-func (b *Books) NextOrder() int64 { return b.s.NextOrder }
+func (s *CellState) NextOrder() int64 { return s.data.NextOrder }
 
 // Count returns the number of tasks in one state.
-func (b *Books) Count(s messenger.TaskState) int { return b.counts[s] }
+func (s *CellState) Count(t messenger.TaskState) int { return s.counts[t] }
--- a/internal/control/bookkeeper/bookkeeper_test.go
+++ b/internal/control/bookkeeper/bookkeeper_test.go
@@ -29,11 +29,11 @@
 	needs := describer.Resources{Millicores: int64(rapid.IntRange(0, 900).Draw(t, "needs")), MemoryBytes: int64(rapid.IntRange(0, 90).Draw(t, "memory"))}
 	switch rapid.IntRange(0, 16).Draw(t, "kind") {
 	case 16:
-		r.DoneBefore = &DoneBefore{Task: task, Attempt: attempt}
+		r.CompletedEarlier = &CompletedEarlier{Task: task, Attempt: attempt}
 	case 0:
-		r.TookOver = &TookOver{Epoch: int64(n), EntryID: "e", VMLease: 6 * time.Second, OutageLease: time.Duration(n) * time.Second}
+		r.Takeover = &Takeover{Epoch: int64(n), EntryID: "e", VMLease: 6 * time.Second, OutageLease: time.Duration(n) * time.Second}
 	case 1:
-		r.Settled = &LeasesSettled{}
+		r.EarlierLeasesExpired = &EarlierLeasesExpired{}
 	case 2, 3:
 		r.VMSeen = &VMSeen{Capacity: messenger.Capacity{VM: vm, Zone: "z", Total: describer.Resources{Millicores: 1000, MemoryBytes: 100}}, AgentID: "a", Incarnation: int64(n)}
 	case 4:
@@ -61,7 +61,7 @@
 	return r
 }
 
-func encode(t *rapid.T, b *Books) string {
+func encode(t *rapid.T, b *CellState) string {
 	raw, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 				Record{Started: &Started{Task: id, VM: "v", Attempt: 1}})
 		}
 		announced := *seen
-		announced.Services = []ServiceHold{{Service: "s", Count: c.upstreams, Needs: needs}}
+		announced.Services = []ServiceUsage{{Service: "s", Count: c.upstreams, Needs: needs}}
 		for _, r := range append(records, Record{VMSeen: &announced}) {
 			if err := b.Apply(r); err != nil {
 				t.Fatal(err)
@@ -179,15 +179,15 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	books := New()
+	state := New()
 	for n := range 10000 {
 		spec := messenger.TaskSpec{ID: fmt.Sprint("task-", n), Tenant: "caroni", Class: "labels"}
-		if err := books.Apply(Record{At: start, Submitted: &Submitted{Spec: spec}}); err != nil {
+		if err := state.Apply(Record{At: start, Submitted: &Submitted{Spec: spec}}); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for b.Loop() {
-		if _, err := books.Encode(); err != nil {
+		if _, err := state.Encode(); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -223,7 +223,7 @@
 	if want := maxAnswerBytes / len(body); whole != want {
 		t.Errorf("%d answers kept, want %d", whole, want)
 	}
-	if err := b.Apply(Record{At: start, ClaimsOld: &ClaimsOld{Before: start.Add(time.Hour)}}); err != nil || b.s.AnswerBytes != 0 || b.CountClaims() != 0 {
-		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", b.s.AnswerBytes, b.CountClaims(), err)
+	if err := b.Apply(Record{At: start, OldClaimsRemoved: &OldClaimsRemoved{Before: start.Add(time.Hour)}}); err != nil || b.data.AnswerBytes != 0 || b.CountClaims() != 0 {
+		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", b.data.AnswerBytes, b.CountClaims(), err)
 	}
 }
--- a/internal/control/bookkeeper/record.go
+++ b/internal/control/bookkeeper/record.go
@@ -14,59 +14,59 @@
 	At       time.Time           `json:"at"`
 	Decision *messenger.Decision `json:"decision,omitempty"`
 
-	TookOver    *TookOver      `json:"took-over,omitempty"`
-	Settled     *LeasesSettled `json:"leases-settled,omitempty"`
-	VMSeen      *VMSeen        `json:"vm-seen,omitempty"`
-	VMGone      *VMGone        `json:"vm-gone,omitempty"`
-	Quarantine  *Quarantine    `json:"quarantine,omitempty"`
-	Submitted   *Submitted     `json:"submitted,omitempty"`
-	Held        *Held          `json:"held,omitempty"`
-	Queued      *Queued        `json:"queued,omitempty"`
-	Cancelled   *Cancelled     `json:"cancelled,omitempty"`
-	Started     *Started       `json:"started,omitempty"`
-	Confirmed   *Confirmed     `json:"confirmed,omitempty"`
-	Stopping    *Stopping      `json:"stopping,omitempty"`
-	Ended       *Ended         `json:"ended,omitempty"`
-	Throttled   *Throttled     `json:"throttled,omitempty"`
-	DoneBefore  *DoneBefore    `json:"done-before,omitempty"`
-	Claimed     *Claimed       `json:"claimed,omitempty"`
-	ClaimClosed *ClaimClosed   `json:"claim-closed,omitempty"`
-	ClaimsOld   *ClaimsOld     `json:"claims-old,omitempty"`
-}
-
-// TookOver starts an epoch and gives the lengths of the leases that its owner
+	Takeover             *Takeover             `json:"took-over,omitempty"`
+	EarlierLeasesExpired *EarlierLeasesExpired `json:"leases-settled,omitempty"`
+	VMSeen               *VMSeen               `json:"vm-seen,omitempty"`
+	VMRemoved            *VMRemoved            `json:"vm-gone,omitempty"`
+	Quarantine           *Quarantine           `json:"quarantine,omitempty"`
+	Submitted            *Submitted            `json:"submitted,omitempty"`
+	Held                 *Held                 `json:"held,omitempty"`
+	Queued               *Queued               `json:"queued,omitempty"`
+	Cancelled            *Cancelled            `json:"cancelled,omitempty"`
+	Started              *Started              `json:"started,omitempty"`
+	Confirmed            *Confirmed            `json:"confirmed,omitempty"`
+	Stopping             *Stopping             `json:"stopping,omitempty"`
+	Ended                *Ended                `json:"ended,omitempty"`
+	Throttled            *Throttled            `json:"throttled,omitempty"`
+	CompletedEarlier     *CompletedEarlier     `json:"done-before,omitempty"`
+	Claimed              *Claimed              `json:"claimed,omitempty"`
+	ClaimClosed          *ClaimClosed          `json:"claim-closed,omitempty"`
+	OldClaimsRemoved     *OldClaimsRemoved     `json:"claims-old,omitempty"`
+}
+
+// Takeover starts an epoch and gives the lengths of the leases that its owner
 // may grant. It is journalled before the first grant, since nothing can be
 // journalled during the store outage for which the longer lease is meant.
-type TookOver struct {
+type Takeover struct {
 	Epoch       int64         `json:"epoch"`
 	EntryID     string        `json:"entry-id"`
 	VMLease     time.Duration `json:"vm-lease"`
 	OutageLease time.Duration `json:"outage-lease"`
 }
 
-// LeasesSettled records that no lease granted in an earlier epoch is in force
-// any more.
-type LeasesSettled struct{}
+// EarlierLeasesExpired records that no lease granted in an earlier epoch is in
+// force any more.
+type EarlierLeasesExpired struct{}
 
 // VMSeen is the description of a VM as reported by its agent.
 type VMSeen struct {
 	Capacity    messenger.Capacity `json:"capacity"`
 	AgentID     string             `json:"agent-id"`
 	Incarnation int64              `json:"incarnation"`
-	Services    []ServiceHold      `json:"services,omitempty"`
+	Services    []ServiceUsage     `json:"services,omitempty"`
 	Leaving     bool               `json:"leaving,omitempty"`
 }
 
-// ServiceHold is the number of upstreams of one service on a VM and the
+// ServiceUsage is the number of upstreams of one service on a VM and the
 // resources of each.
-type ServiceHold struct {
+type ServiceUsage struct {
 	Service string              `json:"service"`
 	Count   int64               `json:"count"`
 	Needs   describer.Resources `json:"needs"` // of one upstream
 }
 
-// VMGone removes a VM on which no task holds resources.
-type VMGone struct {
+// VMRemoved removes a VM on which no task holds resources.
+type VMRemoved struct {
 	VM string `json:"vm"`
 }
 
@@ -122,10 +122,10 @@
 
 // Values of StopKind.
 const (
-	StopMove   StopKind = "move"   // checkpoint, then run elsewhere
-	StopCancel StopKind = "cancel" // cancel the task
-	StopAbort  StopKind = "abort"  // withdraw the start, then run elsewhere
-	StopDone   StopKind = "done"   // an earlier attempt has completed the task
+	StopMove      StopKind = "move"   // checkpoint, then run elsewhere
+	StopCancel    StopKind = "cancel" // cancel the task
+	StopAbort     StopKind = "abort"  // withdraw the start, then run elsewhere
+	StopCompleted StopKind = "done"   // an earlier attempt has completed the task
 )
 
 // Stopping records the order to stop an attempt.
@@ -137,15 +137,15 @@
 
 // Ended records the end of an attempt and releases its resources.
 type Ended struct {
-	Task       string              `json:"task"`
-	Attempt    int64               `json:"attempt"`
-	Next       messenger.TaskState `json:"next"` // completed, cancelled, held or queued
-	Reason     string              `json:"reason,omitempty"`
-	Checkpoint string              `json:"checkpoint,omitempty"` // empty: keep the earlier one
-	Failed     bool                `json:"failed,omitempty"`     // counts as a failure of the task and of the VM
-	Evicted    bool                `json:"evicted,omitempty"`
-	Unheard    bool                `json:"unheard,omitempty"` // held because it may have completed without a report
-	NotBefore  time.Time           `json:"not-before,omitzero"`
+	Task          string              `json:"task"`
+	Attempt       int64               `json:"attempt"`
+	Next          messenger.TaskState `json:"next"` // completed, cancelled, held or queued
+	Reason        string              `json:"reason,omitempty"`
+	Checkpoint    string              `json:"checkpoint,omitempty"` // empty: keep the earlier one
+	Failed        bool                `json:"failed,omitempty"`     // counts as a failure of the task and of the VM
+	Evicted       bool                `json:"evicted,omitempty"`
+	EndUnreported bool                `json:"unheard,omitempty"` // held because it may have completed without a report
+	NotBefore     time.Time           `json:"not-before,omitzero"`
 }
 
 // Throttled sets the processor share of a running task.
@@ -154,8 +154,8 @@
 	Percent int    `json:"percent"`
 }
 
-// DoneBefore records that an attempt assumed lost had completed the task.
-type DoneBefore struct {
+// CompletedEarlier records that an attempt assumed lost had completed the task.
+type CompletedEarlier struct {
 	Task    string `json:"task"`
 	Attempt int64  `json:"attempt"`
 }
@@ -178,7 +178,7 @@
 	Answer    *messenger.KeptAnswer `json:"answer,omitempty"`
 }
 
-// ClaimsOld removes claims made before a time.
-type ClaimsOld struct {
+// OldClaimsRemoved removes claims made before a time.
+type OldClaimsRemoved struct {
 	Before time.Time `json:"before"`
 }
--- a/internal/control/controller/bench_test.go
+++ b/internal/control/controller/bench_test.go
@@ -102,13 +102,13 @@
 	if _, err := j.Open(context.Background(), none); err != nil {
 		b.Fatal(err)
 	}
-	books := bookkeeper.New()
+	cellState := bookkeeper.New()
 	for n := range length {
 		var records []json.RawMessage
 		for _, r := range taskRecords(n) {
 			raw, err := json.Marshal(r)
 			if err == nil {
-				err = books.Apply(r)
+				err = cellState.Apply(r)
 			}
 			if err != nil {
 				b.Fatal(err)
@@ -119,7 +119,7 @@
 			b.Fatal(err)
 		}
 		if every > 0 && (n+1)%every == 0 {
-			state, err := books.Encode()
+			state, err := cellState.Encode()
 			if err == nil {
 				err = j.Snapshot(context.Background(), j.NextSeq()-1, state)
 			}
--- a/internal/control/controller/claim.go
+++ b/internal/control/controller/claim.go
@@ -41,7 +41,7 @@
 // handleClaim grants a keyed request to a single claimant. The claim is journalled before
 // it is granted, so that a new owner recovers it.
 func (o *owner) handleClaim(call callEvent, r messenger.ClaimRequest) {
-	if c := o.books.Claim(r.Tenant, r.Key); c != nil {
+	if c := o.state.Claim(r.Tenant, r.Key); c != nil {
 		reply := messenger.ClaimReply{State: c.State, Answer: c.Answer}
 		switch {
 		case c.Digest != r.Digest || c.Service != r.Service:
@@ -58,7 +58,7 @@
 		call.fail(messenger.CodeBadRequest, "request %s has already ended without running", r.RequestID)
 		return
 	}
-	if o.appendSlow() || o.books.CountClaims() >= maxClaims {
+	if o.appendSlow() || o.state.CountClaims() >= maxClaims {
 		call.fail(messenger.CodeUnavailable, "cell %s accepts no claims now: the journal is slow, or the limit of %d claims is reached", o.config.Cell, maxClaims)
 		return
 	}
@@ -68,12 +68,12 @@
 	})
 }
 
-// handleSettle journals how a claimed request ended.
-func (o *owner) handleSettle(call callEvent, r messenger.SettleRequest) {
+// handleResolveClaim journals how a claimed request ended.
+func (o *owner) handleResolveClaim(call callEvent, r messenger.SettleRequest) {
 	if r.Outcome == messenger.OutcomeNotRun {
 		o.notRun.add(r.RequestID, o.config.Now())
 	}
-	c := o.books.Claim(r.Tenant, r.Key)
+	c := o.state.Claim(r.Tenant, r.Key)
 	if c == nil || c.RequestID != r.RequestID || c.State == messenger.ClaimSettled {
 		o.onCommit(func() { call.succeed(messenger.Empty{}) })
 		return
@@ -92,7 +92,7 @@
 	}
 	o.claimsSweptAt = now
 	before := now.Add(-claimRetention).Round(0).UTC()
-	if oldest := o.books.OldestClaim(); !oldest.IsZero() && oldest.Before(before) {
-		o.decide(bookkeeper.Record{ClaimsOld: &bookkeeper.ClaimsOld{Before: before}}, 0, messenger.Decision{}, nil)
+	if oldest := o.state.OldestClaim(); !oldest.IsZero() && oldest.Before(before) {
+		o.decide(bookkeeper.Record{OldClaimsRemoved: &bookkeeper.OldClaimsRemoved{Before: before}}, 0, messenger.Decision{}, nil)
 	}
 }
--- a/internal/control/controller/claim_test.go
+++ b/internal/control/controller/claim_test.go
@@ -12,20 +12,20 @@
 func TestLateClaimOfEndedRequest(t *testing.T) {
 	to := newTestOwner(t)
 	claim := messenger.ClaimRequest{Tenant: "caroni", Service: "s", Key: "k", Digest: "d", RequestID: "first"}
-	to.handleSettle(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "first", Outcome: messenger.OutcomeNotRun})
+	to.handleResolveClaim(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "first", Outcome: messenger.OutcomeNotRun})
 	to.handleClaim(to.call(), claim)
-	if to.books.Claim("caroni", "k") != nil {
+	if to.state.Claim("caroni", "k") != nil {
 		t.Error("the claim of a request that has ended was granted")
 	}
 	claim.RequestID = "second"
 	to.handleClaim(to.call(), claim)
-	if c := to.books.Claim("caroni", "k"); c == nil || c.RequestID != "second" {
+	if c := to.state.Claim("caroni", "k"); c == nil || c.RequestID != "second" {
 		t.Errorf("claim of the second request: %+v", c)
 	}
 	// The same if a duplicate of a granted claim arrives late.
-	to.handleSettle(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "second", Outcome: messenger.OutcomeNotRun})
+	to.handleResolveClaim(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "second", Outcome: messenger.OutcomeNotRun})
 	to.handleClaim(to.call(), claim)
-	if to.books.Claim("caroni", "k") != nil {
+	if to.state.Claim("caroni", "k") != nil {
 		t.Error("a late duplicate of a claim was granted")
 	}
 }
--- a/internal/control/controller/commit.go
+++ b/internal/control/controller/commit.go
@@ -52,9 +52,9 @@
 	return o.commits.appending && o.config.Now().Sub(o.commits.appendBegan) > slowAppendThreshold
 }
 
-// decide applies a record to the books and queues it for the journal. The function after,
+// decide applies a record to the state and queues it for the journal. The function after,
 // if not nil, runs once the record is journalled; nothing that others act on may be sent
-// before that. decide returns false and changes nothing if the books reject the record.
+// before that. decide returns false and changes nothing if the state rejects the record.
 func (o *owner) decide(r bookkeeper.Record, code reporter.Code, d messenger.Decision, after func()) bool {
 	r.At = o.config.Now().Round(0).UTC()
 	if code != 0 {
@@ -63,7 +63,7 @@
 	}
 	raw, err := json.Marshal(r)
 	if err == nil {
-		err = o.books.Apply(r)
+		err = o.state.Apply(r)
 	}
 	if err != nil {
 		o.config.Reporter.Report(reporter.RecordRefused, reporter.Fields{"cell": o.config.Cell, "error": err.Error()})
@@ -97,8 +97,8 @@
 	g := o.commits.nextGroup(o.config.GroupLimit)
 	g.seq = o.commits.nextSeq
 	if len(o.commits.pending.records) == 0 && !o.commits.snapshotting && o.journal.SnapshotDue() {
-		// The books contain exactly the records that the journal will contain after this entry.
-		if state, err := o.books.Encode(); err == nil {
+		// The state contains exactly the records that the journal will contain after this entry.
+		if state, err := o.state.Encode(); err == nil {
 			g.snapshot = state
 		}
 	}
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -43,18 +43,18 @@
 	// Fleet returns the newest known fleet without calling the store.
 	Fleet  func() *describer.Fleet
 	Placer *placer.Placer
-	// Observe receives a usage report of a VM together with the tasks that were placed on
+	// ObserveUsage receives a usage report of a VM together with the tasks that were placed on
 	// it in the reported time window. May be nil.
-	Observe      func(vm string, usage messenger.Usage, placed []Placement)
-	Interference func(service, class string) (slowdown, confidence float64) // may be nil
-	Pressure     func(vm, service string) float64                           // may be nil
-	Recent       func(vm, service string) []placer.Window                   // may be nil
-	Reporter     *reporter.Reporter
-	Metrics      *metrics.Set
-	Now          func() time.Time
-	OwnerLease   time.Duration // 0: elector.DefaultLease
-	VMLease      time.Duration // 0: DefaultVMLease
-	OutageLease  time.Duration // 0: that of the fleet's policy, else DefaultOutageLease
+	ObserveUsage  func(vm string, usage messenger.Usage, placed []Placement)
+	Interference  func(service, class string) (slowdown, confidence float64) // may be nil
+	Pressure      func(vm, service string) float64                           // may be nil
+	RecentWindows func(vm, service string) []placer.Window                   // may be nil
+	Reporter      *reporter.Reporter
+	Metrics       *metrics.Set
+	Now           func() time.Time
+	OwnerLease    time.Duration // 0: elector.DefaultLease
+	VMLease       time.Duration // 0: DefaultVMLease
+	OutageLease   time.Duration // 0: that of the fleet's policy, else DefaultOutageLease
 	// GroupLimit is the maximum number of records in one journal entry; 0: limited by
 	// size only. 1 turns group commit off, for measurements.
 	GroupLimit    int
@@ -125,14 +125,14 @@
 
 // runEpoch runs the cell for one epoch while it renews the ownership lease.
 func (c *Controller) runEpoch(parent context.Context) error {
-	tookOver := c.config.Now()
+	takeoverAt := c.config.Now()
 	ctx, cancel := context.WithCancel(parent)
 	renewal := make(chan error, 1)
 	go func() {
-		renewal <- c.elector.Keep(ctx)
+		renewal <- c.elector.RenewLease(ctx)
 		cancel()
 	}()
-	err := c.recoverAndRun(ctx, tookOver)
+	err := c.recoverAndRun(ctx, takeoverAt)
 	cancel()
 	if renewErr := <-renewal; err == nil || ctx.Err() != nil && keeper.IsErrLeaseNotExist(renewErr) {
 		err = renewErr
@@ -142,12 +142,12 @@
 
 // recoverAndRun recovers the cell's state, publishes this process as the owner and runs
 // the cell.
-func (c *Controller) recoverAndRun(ctx context.Context, tookOver time.Time) error {
+func (c *Controller) recoverAndRun(ctx context.Context, takeoverAt time.Time) error {
 	j := journaler.New(journaler.FromKeeper(journaler.Config{
 		Cell: c.config.Cell, EntryID: c.config.EntryID, NewID: c.config.NewID,
 		SnapshotEvery: c.config.SnapshotEvery, DeletePause: deletePause,
 	}, c.config.Keeper))
-	o, err := c.recover(ctx, j, tookOver)
+	o, err := c.recover(ctx, j, takeoverAt)
 	if err != nil {
 		c.config.Reporter.Report(reporter.RecoveryFailed, reporter.Fields{"cell": c.config.Cell, "error": err.Error()})
 		_ = c.elector.Release(context.WithoutCancel(ctx))
@@ -162,7 +162,7 @@
 }
 
 // Owner returns the last known owner of the cell.
-func (c *Controller) Owner() (messenger.CellOwner, bool) { return c.elector.Known() }
+func (c *Controller) Owner() (messenger.CellOwner, bool) { return c.elector.LastSeenOwner() }
 
 // Drain gives up the ownership: it waits until all decisions are journalled and then
 // releases the lease, so that another process need not wait for the lease to expire.
--- a/internal/control/controller/controller_test.go
+++ b/internal/control/controller/controller_test.go
@@ -202,8 +202,8 @@
 		}
 	}
 	expect("other request at the successor", claim("r2", "d"), messenger.ClaimHeld)
-	settle := messenger.SettleRequest{Cell: "c1", Tenant: "caroni", Key: "k", RequestID: "r1", Outcome: messenger.OutcomeRun, Answer: &messenger.KeptAnswer{Status: 201, Whole: true}}
-	if err := c.call(c.ctx, messenger.MethodSettle, settle, &messenger.Empty{}); err != nil {
+	resolve := messenger.SettleRequest{Cell: "c1", Tenant: "caroni", Key: "k", RequestID: "r1", Outcome: messenger.OutcomeRun, Answer: &messenger.KeptAnswer{Status: 201, Whole: true}}
+	if err := c.call(c.ctx, messenger.MethodSettle, resolve, &messenger.Empty{}); err != nil {
 		t.Fatal(err)
 	}
 	got := claim("r2", "d")
--- a/internal/control/controller/order.go
+++ b/internal/control/controller/order.go
@@ -60,7 +60,7 @@
 }
 
 func (o *owner) contactNeeded() bool {
-	return len(o.deferred) > 0 || o.books.CountQueued() > 0 || o.books.Count(messenger.TaskStarting) > 0
+	return len(o.deferred) > 0 || o.state.CountQueued() > 0 || o.state.Count(messenger.TaskStarting) > 0
 }
 
 func (o *owner) completeContact(e contactEvent) {
@@ -77,11 +77,11 @@
 
 // withdrawStarts withdraws unconfirmed starts in zones that were taken out.
 func (o *owner) withdrawStarts() {
-	for _, vm := range o.books.VMs() {
+	for _, vm := range o.state.VMs() {
 		if !o.zoneOut(vm) {
 			continue
 		}
-		for _, t := range o.books.On(vm) {
+		for _, t := range o.state.On(vm) {
 			if t.State == messenger.TaskStarting {
 				o.withdraw(t, "its zone was taken out")
 			}
@@ -90,7 +90,7 @@
 }
 
 func (o *owner) zoneOut(vm string) bool {
-	v := o.books.VM(vm)
+	v := o.state.VM(vm)
 	return v != nil && o.fleet.ZoneIsOut(v.Seen.Capacity.Zone)
 }
 
@@ -170,7 +170,7 @@
 	for at := range s.unassigned {
 		add(messenger.Order{Kind: messenger.OrderStop, TaskID: at.TaskID, Attempt: at.Attempt})
 	}
-	for _, t := range o.books.On(vm) {
+	for _, t := range o.state.On(vm) {
 		if o.commits.uncommitted[t.Spec.ID] > 0 { // not journalled yet
 			continue
 		}
@@ -218,13 +218,13 @@
 		if !s.reachable(now) {
 			continue
 		}
-		for _, t := range o.books.On(vm) {
+		for _, t := range o.state.On(vm) {
 			if t.State == messenger.TaskStarting && now.Sub(t.Changed) > confirmTimeout {
 				o.withdraw(t, "the agent neither confirmed nor refused it")
 			}
 		}
 		for sent := range s.sentOrders {
-			if cur := o.books.Task(sent.attempt.TaskID); cur == nil || !cur.Holds() || cur.Attempt != sent.attempt.Attempt {
+			if cur := o.state.Task(sent.attempt.TaskID); cur == nil || !cur.HoldsResources() || cur.Attempt != sent.attempt.Attempt {
 				delete(s.sentOrders, sent)
 			}
 		}
--- a/internal/control/controller/orders_test.go
+++ b/internal/control/controller/orders_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("reply to poll %d with an unassigned attempt: %+v", i, orders)
 		}
 	}
-	if state := to.books.Task("t").State; state != messenger.TaskQueued {
+	if state := to.state.Task("t").State; state != messenger.TaskQueued {
 		t.Errorf("task of an attempt that the poll does not list is %s", state)
 	}
 	unassigned.State = messenger.ReportStopped
@@ -66,30 +66,30 @@
 }
 
 // A restarted agent has no upstreams at first: their capacity must stay committed, and be
-// freed once they were not announced for longer than serviceHoldGrace.
+// freed once they were not announced for longer than serviceUsageGrace.
 func TestCapacityIsKeptForUnannouncedUpstreams(t *testing.T) {
 	to := newTestOwner(t)
 	s := to.session("vm")
-	committed := []bookkeeper.ServiceHold{{Service: "s", Count: 2}}
+	committed := []bookkeeper.ServiceUsage{{Service: "s", Count: 2}}
 	kept := func() int64 {
-		if holds := s.mergeHolds(committed, nil, to.now); len(holds) == 1 {
-			return holds[0].Count
+		if usage := s.mergeServiceUsage(committed, nil, to.now); len(usage) == 1 {
+			return usage[0].Count
 		}
 		return 0
 	}
 	if n := kept(); n != 2 {
 		t.Errorf("%d kept immediately, want 2", n)
 	}
-	to.now = to.now.Add(serviceHoldGrace)
+	to.now = to.now.Add(serviceUsageGrace)
 	if n := kept(); n != 2 {
 		t.Errorf("%d kept during the grace period, want 2", n)
 	}
-	s.mergeHolds(committed, []bookkeeper.ServiceHold{{Service: "s", Count: 2}}, to.now) // announced again
-	to.now = to.now.Add(serviceHoldGrace)
+	s.mergeServiceUsage(committed, []bookkeeper.ServiceUsage{{Service: "s", Count: 2}}, to.now) // announced again
+	to.now = to.now.Add(serviceUsageGrace)
 	if n := kept(); n != 2 {
 		t.Errorf("%d kept after they were announced again, want 2", n)
 	}
-	to.now = to.now.Add(serviceHoldGrace + 1)
+	to.now = to.now.Add(serviceUsageGrace + 1)
 	if n := kept(); n != 0 {
 		t.Errorf("%d kept after the grace period, want 0", n)
 	}
--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -55,9 +55,9 @@
 	held           func() bool // whether the ownership is certainly held now
 	renewalOverdue func() bool // whether the store may be unavailable
 	epoch          int64
-	tookOver       time.Time
+	takeoverAt     time.Time
 	priorLease     time.Duration // the longest lease that an earlier owner may have granted
-	books          *bookkeeper.Books
+	state          *bookkeeper.CellState
 	journal        *journaler.Journaler
 
 	calls     chan callEvent
@@ -91,7 +91,7 @@
 }
 
 // recover reads the journal, opens an epoch and rebuilds the cell's state.
-func (c *Controller) recover(ctx context.Context, j *journaler.Journaler, tookOver time.Time) (*owner, error) {
+func (c *Controller) recover(ctx context.Context, j *journaler.Journaler, takeoverAt time.Time) (*owner, error) {
 	outage := c.config.OutageLease
 	if outage <= 0 {
 		outage = DefaultOutageLease
@@ -103,21 +103,21 @@
 	if err != nil {
 		return nil, err
 	}
-	books := bookkeeper.New()
+	state := bookkeeper.New()
 	if r.Snapshot != nil {
-		if books, err = bookkeeper.Decode(r.Snapshot); err != nil {
+		if state, err = bookkeeper.Decode(r.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	var priorLease time.Duration
 	for _, e := range r.Entries {
-		priorLease = books.MaxLease()
+		priorLease = state.MaxLease()
 		for _, raw := range e.Records {
 			var record bookkeeper.Record
 			if err := json.Unmarshal(raw, &record); err != nil {
 				return nil, fmt.Errorf("decode record of entry %d: %w", e.Seq, err)
 			}
-			if err := books.Apply(record); err != nil {
+			if err := state.Apply(record); err != nil {
 				return nil, fmt.Errorf("replay entry %d: %w", e.Seq, err)
 			}
 		}
@@ -125,15 +125,15 @@
 	c.config.OutageLease = outage
 	c.config.Reporter.Report(reporter.EpochOpened, reporter.Fields{
 		"cell": c.config.Cell, "epoch": r.Epoch, "entries": len(r.Entries), "snapshot-bytes": len(r.Snapshot),
-		"took": c.config.Now().Sub(tookOver).String(),
+		"took": c.config.Now().Sub(takeoverAt).String(),
 	})
-	return c.newOwner(j, books, tookOver, priorLease), nil
+	return c.newOwner(j, state, takeoverAt, priorLease), nil
 }
 
 func (c *Controller) openingRecords(epoch int64, outage time.Duration) ([]json.RawMessage, error) {
 	record := bookkeeper.Record{
 		At:       c.config.Now().Round(0),
-		TookOver: &bookkeeper.TookOver{Epoch: epoch, EntryID: c.config.EntryID, VMLease: c.config.VMLease, OutageLease: outage},
+		Takeover: &bookkeeper.Takeover{Epoch: epoch, EntryID: c.config.EntryID, VMLease: c.config.VMLease, OutageLease: outage},
 		Decision: &messenger.Decision{Code: int(reporter.EpochOpened), Reason: "cell taken over by " + c.config.EntryID},
 	}
 	raw, err := json.Marshal(record)
@@ -143,10 +143,10 @@
 	return []json.RawMessage{raw}, nil
 }
 
-func (c *Controller) newOwner(j *journaler.Journaler, books *bookkeeper.Books, tookOver time.Time, priorLease time.Duration) *owner {
+func (c *Controller) newOwner(j *journaler.Journaler, state *bookkeeper.CellState, takeoverAt time.Time, priorLease time.Duration) *owner {
 	o := &owner{
 		config: c.config, held: c.elector.Held, renewalOverdue: c.elector.RenewalOverdue,
-		epoch: j.Epoch(), tookOver: tookOver, priorLease: priorLease, books: books, journal: j,
+		epoch: j.Epoch(), takeoverAt: takeoverAt, priorLease: priorLease, state: state, journal: j,
 		calls: make(chan callEvent, callQueueSize), appended: make(chan appendEvent, 1),
 		contacted: make(chan contactEvent, 1), snapshots: make(chan snapshotEvent, 1),
 		stop: make(chan struct{}, 1), done: make(chan struct{}),
@@ -155,8 +155,8 @@
 		sessions: make(map[string]*session), waitReasons: make(map[string]string), dirty: true,
 	}
 	o.metrics = newCellMetrics(c.config.Metrics, c.config.Cell)
-	for _, name := range books.VMs() {
-		o.sessions[name] = &session{leaseUntil: o.leaseEnd(tookOver, priorLease), unassigned: make(map[messenger.TaskAttempt]bool), sentOrders: make(map[sentOrder]time.Time)}
+	for _, name := range state.VMs() {
+		o.sessions[name] = &session{leaseUntil: o.leaseEnd(takeoverAt, priorLease), unassigned: make(map[messenger.TaskAttempt]bool), sentOrders: make(map[sentOrder]time.Time)}
 	}
 	return o
 }
@@ -244,7 +244,7 @@
 	case messenger.ClaimRequest:
 		o.handleClaim(call, r)
 	case messenger.SettleRequest:
-		o.handleSettle(call, r)
+		o.handleResolveClaim(call, r)
 	case messenger.FindTasksOptions:
 		call.succeed(o.findTasks(r))
 	case messenger.StatusRequest:
--- a/internal/control/controller/owner_test.go
+++ b/internal/control/controller/owner_test.go
@@ -31,7 +31,7 @@
 	to.t.Helper()
 	for _, r := range records {
 		r.At = to.now
-		if err := to.books.Apply(r); err != nil {
+		if err := to.state.Apply(r); err != nil {
 			to.t.Fatal(err)
 		}
 	}
--- a/internal/control/controller/pause_test.go
+++ b/internal/control/controller/pause_test.go
@@ -17,15 +17,15 @@
 	to.apply(bookkeeper.Record{Ended: &bookkeeper.Ended{Task: "t", Attempt: 1, Next: messenger.TaskQueued, NotBefore: to.now.Add(maxBackoff)}},
 		bookkeeper.Record{Quarantine: &bookkeeper.Quarantine{VM: "vm", Reason: "r", Until: to.now.Add(maxQuarantine)}})
 	to.checkQuarantines(to.now)
-	if n := len(to.placerSnapshot(to.now).Queued); n != 0 || to.books.VM("vm").Quarantined == "" {
-		t.Errorf("%d tasks may start during their backoff, quarantine %q", n, to.books.VM("vm").Quarantined)
+	if n := len(to.placerSnapshot(to.now).Queued); n != 0 || to.state.VM("vm").Quarantined == "" {
+		t.Errorf("%d tasks may start during their backoff, quarantine %q", n, to.state.VM("vm").Quarantined)
 	}
 	to.now = to.now.Add(-time.Hour)
 	to.checkQuarantines(to.now)
 	if q := to.placerSnapshot(to.now).Queued; len(q) != 1 || q[0].NotBefore.After(to.now) {
 		t.Errorf("the task is still in backoff: queued %+v", q)
 	}
-	if q := to.books.VM("vm").Quarantined; q != "" {
+	if q := to.state.VM("vm").Quarantined; q != "" {
 		t.Errorf("still in quarantine: %s", q)
 	}
 }
--- a/internal/control/controller/planning.go
+++ b/internal/control/controller/planning.go
@@ -25,12 +25,12 @@
 func (o *owner) plan() {
 	now := o.config.Now()
 	since := now.Sub(o.plannedAt)
-	work := o.books.CountQueued() > 0 || o.books.Count(messenger.TaskRunning) > 0
+	work := o.state.CountQueued() > 0 || o.state.Count(messenger.TaskRunning) > 0
 	if !work || o.appendSlow() || o.stopping || !o.held() {
 		return
 	}
 	fresh := o.contactFresh(now)
-	if !fresh && o.books.CountQueued() > 0 && since < staleRoundInterval {
+	if !fresh && o.state.CountQueued() > 0 && since < staleRoundInterval {
 		return
 	}
 	if since < roundInterval && !o.urgent && !(o.dirty && since >= minRoundInterval) {
@@ -57,12 +57,12 @@
 		o.start(s, probed)
 	}
 	for _, e := range plan.Evictions {
-		if t := o.books.Task(e.TaskID); t != nil && t.State == messenger.TaskRunning && o.evictionBudget.take(now, o.evictionRate()) {
+		if t := o.state.Task(e.TaskID); t != nil && t.State == messenger.TaskRunning && o.evictionBudget.take(now, o.evictionRate()) {
 			o.move(t, e.Reason, e.Inputs)
 		}
 	}
 	for _, th := range plan.Throttles {
-		t := o.books.Task(th.TaskID)
+		t := o.state.Task(th.TaskID)
 		if t == nil || t.State != messenger.TaskRunning || t.Percent == th.Percent {
 			continue
 		}
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, h := range plan.Holds {
-		if t := o.books.Task(h.TaskID); t != nil && t.State == messenger.TaskQueued {
+		if t := o.state.Task(h.TaskID); t != nil && t.State == messenger.TaskQueued {
 			o.hold(h.TaskID, h.Reason, true, nil)
 		}
 	}
@@ -83,7 +83,7 @@
 // start journals the start of a task. A VM that is probed after a quarantine gets one task
 // at a time, so that it can't fail many tasks at once.
 func (o *owner) start(s placer.Start, probed map[string]bool) {
-	t, v := o.books.Task(s.TaskID), o.books.VM(s.VM)
+	t, v := o.state.Task(s.TaskID), o.state.VM(s.VM)
 	if t == nil || v == nil || t.State != messenger.TaskQueued {
 		return
 	}
@@ -106,12 +106,12 @@
 // guarantee that a VM is never overcommitted has priority over the eviction budget. Tasks
 // that can be checkpointed are moved first, the latest first.
 func (o *owner) checkOvercommit() {
-	for _, vm := range o.books.VMs() {
-		total, committed := o.books.VM(vm).Seen.Capacity.Total, o.books.Committed(vm)
+	for _, vm := range o.state.VMs() {
+		total, committed := o.state.VM(vm).Seen.Capacity.Total, o.state.Committed(vm)
 		if committed.Fits(total) {
 			continue
 		}
-		tasks := o.books.On(vm)
+		tasks := o.state.On(vm)
 		for _, t := range tasks {
 			if t.State == messenger.TaskStopping {
 				committed = committed.Sub(t.Spec.Needs)
@@ -144,17 +144,17 @@
 func (o *owner) placerSnapshot(now time.Time) placer.Snapshot {
 	s := placer.Snapshot{
 		Now: now, Fleet: o.fleet, Interference: o.config.Interference, Pressure: o.config.Pressure,
-		Recent: o.config.Recent, Unsettled: !o.reconciled,
+		Recent: o.config.RecentWindows, Unreconciled: !o.reconciled,
 		EvictionsLeft: o.evictionBudget.left(now, o.evictionRate()),
 	}
-	names := o.books.VMs()
+	names := o.state.VMs()
 	for _, name := range names {
 		s.VMs = append(s.VMs, o.describeVM(name, now))
-		for _, t := range o.books.On(name) {
+		for _, t := range o.state.On(name) {
 			s.Placed = append(s.Placed, o.describeTask(t, len(names)))
 		}
 	}
-	for _, t := range o.books.Queued() {
+	for _, t := range o.state.Queued() {
 		if !pauseActive(t.NotBefore, now, maxBackoff) {
 			p := o.describeTask(t, len(names))
 			p.NotBefore = time.Time{}
@@ -165,18 +165,18 @@
 }
 
 func (o *owner) describeVM(name string, now time.Time) placer.VM {
-	v, session := o.books.VM(name), o.session(name)
+	v, session := o.state.VM(name), o.session(name)
 	c := v.Seen.Capacity
 	vm := placer.VM{
-		Name: name, Zone: c.Zone, Rack: c.Rack, Total: c.Total, Committed: o.books.Committed(name),
+		Name: name, Zone: c.Zone, Rack: c.Rack, Total: c.Total, Committed: o.state.Committed(name),
 		Reachable: session.reachable(now) && now.Sub(session.firstSeen) >= newVMDelay, Leaving: v.Seen.Leaving,
-		Quarantined: v.Quarantined != "" || v.Quarantines > 0 && o.books.CountOn(name) > 0,
-		ReturnedAt:  o.zoneReturnedAt[c.Zone], Acted: session.lastAdjusted,
+		Quarantined: v.Quarantined != "" || v.Quarantines > 0 && o.state.CountOn(name) > 0,
+		ReturnedAt:  o.zoneReturnedAt[c.Zone], LastAdjustedAt: session.lastAdjusted,
 	}
 	for _, h := range v.Seen.Services {
 		vm.Services = append(vm.Services, h.Service)
 	}
-	for _, t := range o.books.On(name) {
+	for _, t := range o.state.On(name) {
 		if t.Spec.Service != "" && !slices.Contains(vm.Services, t.Spec.Service) {
 			vm.Services = append(vm.Services, t.Spec.Service)
 		}
@@ -192,7 +192,7 @@
 		Stopping: t.State == messenger.TaskStopping, Submitted: t.Submitted,
 		NotBefore: t.NotBefore, Percent: t.Percent,
 	}
-	if t.Holds() {
+	if t.HoldsResources() {
 		p.Started, p.NotBefore = t.NotBefore, time.Time{} // while a task holds resources, NotBefore is its start time
 	}
 	if len(t.FailedOn) > 0 && len(t.FailedOn) < vms { // if it failed on every VM, none is avoided
--- a/internal/control/controller/quarantine.go
+++ b/internal/control/controller/quarantine.go
@@ -20,19 +20,19 @@
 // quarantineIfFailing quarantines a VM on which several different tasks failed in a row.
 // On a VM that is being probed one failure is enough.
 func (o *owner) quarantineIfFailing(vm string) {
-	v := o.books.VM(vm)
+	v := o.state.VM(vm)
 	if v == nil || v.Quarantined != "" {
 		return
 	}
-	if len(v.Failing) < failuresToQuarantine && v.Quarantines == 0 {
+	if len(v.FailedTasks) < failuresToQuarantine && v.Quarantines == 0 {
 		return
 	}
 	length := min(minQuarantine<<min(v.Quarantines, 10), maxQuarantine)
 	until := o.config.Now().Add(length).Round(0).UTC()
-	reason := fmt.Sprintf("%d different tasks failed in a row", len(v.Failing))
+	reason := fmt.Sprintf("%d different tasks failed in a row", len(v.FailedTasks))
 	o.decide(bookkeeper.Record{Quarantine: &bookkeeper.Quarantine{VM: vm, Reason: reason, Until: until}}, reporter.VMQuarantined,
 		messenger.Decision{VM: vm, Reason: reason, Inputs: map[string]string{
-			"tasks": strings.Join(v.Failing[:min(len(v.Failing), 10)], ","), "until": until.Format(time.RFC3339),
+			"tasks": strings.Join(v.FailedTasks[:min(len(v.FailedTasks), 10)], ","), "until": until.Format(time.RFC3339),
 		}}, nil)
 }
 
@@ -47,8 +47,8 @@
 // checkQuarantines ends the quarantines that have expired. Tasks then probe the VM one at a
 // time.
 func (o *owner) checkQuarantines(now time.Time) {
-	for _, name := range o.books.VMs() {
-		if v := o.books.VM(name); v.Quarantined != "" && !pauseActive(v.Until, now, maxQuarantine) {
+	for _, name := range o.state.VMs() {
+		if v := o.state.VM(name); v.Quarantined != "" && !pauseActive(v.QuarantinedUntil, now, maxQuarantine) {
 			o.decide(bookkeeper.Record{Quarantine: &bookkeeper.Quarantine{VM: name}}, reporter.VMReleased,
 				messenger.Decision{VM: name, Reason: "one task at a time may probe the VM"}, nil)
 		}
--- a/internal/control/controller/query.go
+++ b/internal/control/controller/query.go
@@ -20,7 +20,7 @@
 		limit = defaultFindLimit
 	}
 	reply := messenger.FindTasksReply{Tasks: []messenger.Task{}}
-	for _, t := range o.books.Tasks() {
+	for _, t := range o.state.Tasks() {
 		if len(reply.Tasks) == limit {
 			break
 		}
@@ -42,7 +42,7 @@
 		Spec: t.Spec, State: t.State, Reason: t.Reason, VM: t.VM, Attempt: t.Attempt, Failures: t.Failures,
 		Evictions: t.Evictions, Checkpoint: t.Checkpoint, Submitted: t.Submitted, Changed: t.Changed,
 	}
-	if v := o.books.VM(t.VM); v != nil {
+	if v := o.state.VM(t.VM); v != nil {
 		view.Zone = v.Seen.Capacity.Zone
 	}
 	if t.State == messenger.TaskQueued && o.waitReasons[t.Spec.ID] != "" {
@@ -55,7 +55,7 @@
 	now := o.config.Now()
 	s := messenger.Status{
 		Cell: o.config.Cell, Owner: o.config.EntryID, Epoch: o.epoch, FleetVersion: o.fleet.Version(),
-		StoreReached: !o.renewalOverdue(), JournalNext: o.commits.nextSeq, Tasks: o.books.Counts(),
+		StoreReached: !o.renewalOverdue(), JournalNext: o.commits.nextSeq, Tasks: o.state.Counts(),
 		VMs: []messenger.VMStatus{}, Zones: []messenger.ZoneStatus{},
 	}
 	zones := make(map[string]*messenger.ZoneStatus)
@@ -65,16 +65,16 @@
 	for i := range s.Zones {
 		zones[s.Zones[i].Name] = &s.Zones[i]
 	}
-	for _, name := range o.books.VMs() {
-		v := o.books.VM(name)
+	for _, name := range o.state.VMs() {
+		v := o.state.VM(name)
 		c := v.Seen.Capacity
 		s.VMs = append(s.VMs, messenger.VMStatus{
-			VM: name, Zone: c.Zone, Rack: c.Rack, Total: c.Total, Committed: o.books.Committed(name),
-			Tasks: o.books.CountOn(name), Reachable: o.session(name).reachable(now), Quarantined: v.Quarantined,
+			VM: name, Zone: c.Zone, Rack: c.Rack, Total: c.Total, Committed: o.state.Committed(name),
+			Tasks: o.state.CountOn(name), Reachable: o.session(name).reachable(now), Quarantined: v.Quarantined,
 		})
 		if z := zones[c.Zone]; z != nil {
 			z.VMs++
-			z.Tasks += o.books.CountOn(name)
+			z.Tasks += o.state.CountOn(name)
 		}
 	}
 	return s
@@ -85,7 +85,7 @@
 	if limit <= 0 {
 		limit = defaultEventsLimit
 	}
-	return messenger.EventsReply{Decisions: o.books.Decisions(r.Above, limit)}
+	return messenger.EventsReply{Decisions: o.state.Decisions(r.Above, limit)}
 }
 
 // handleExplain replies with the state of a task, VM or service and the decisions about it.
@@ -94,7 +94,7 @@
 	var match func(*messenger.Decision) bool
 	switch r.Kind {
 	case "task":
-		t := o.books.Task(r.Name)
+		t := o.state.Task(r.Name)
 		if t == nil {
 			call.fail(messenger.CodeNotExist, "task %s does not exist", r.Name)
 			return
@@ -102,7 +102,7 @@
 		reply.Summary = o.summarizeTask(t)
 		match = func(d *messenger.Decision) bool { return d.Task == r.Name }
 	case "vm":
-		if o.books.VM(r.Name) == nil {
+		if o.state.VM(r.Name) == nil {
 			call.fail(messenger.CodeNotExist, "VM %s does not exist", r.Name)
 			return
 		}
@@ -119,14 +119,14 @@
 		call.fail(messenger.CodeBadRequest, "unknown kind %q: want task, vm or service", r.Kind)
 		return
 	}
-	reply.Decisions = o.books.FindDecisions(match)
+	reply.Decisions = o.state.FindDecisions(match)
 	call.succeed(reply)
 }
 
 func (o *owner) summarizeTask(t *bookkeeper.Task) string {
 	view := o.taskView(t)
 	text := fmt.Sprintf("task %s of tenant %s is %s", t.Spec.ID, t.Spec.Tenant, t.State)
-	if t.Holds() {
+	if t.HoldsResources() {
 		text += fmt.Sprintf(" on VM %s in zone %s, attempt %d", t.VM, view.Zone, t.Attempt)
 	}
 	if view.Reason != "" {
@@ -136,9 +136,9 @@
 }
 
 func (o *owner) summarizeVM(name string) string {
-	v, committed, total := o.books.VM(name), o.books.Committed(name), o.books.VM(name).Seen.Capacity.Total
+	v, committed, total := o.state.VM(name), o.state.Committed(name), o.state.VM(name).Seen.Capacity.Total
 	text := fmt.Sprintf("VM %s in zone %s holds %d tasks and has committed %d of %d millicores, %d of %d bytes of memory, %d of %d accelerators",
-		name, v.Seen.Capacity.Zone, o.books.CountOn(name), committed.Millicores, total.Millicores,
+		name, v.Seen.Capacity.Zone, o.state.CountOn(name), committed.Millicores, total.Millicores,
 		committed.MemoryBytes, total.MemoryBytes, committed.Accelerators, total.Accelerators)
 	if v.Quarantined != "" {
 		text += ", in quarantine: " + v.Quarantined
@@ -152,15 +152,15 @@
 func (o *owner) summarizeService(name string) string {
 	service, _ := o.fleet.Service(name)
 	replicas, upstreams := 0, int64(0)
-	for _, vm := range o.books.VMs() {
-		for _, t := range o.books.On(vm) {
+	for _, vm := range o.state.VMs() {
+		for _, t := range o.state.On(vm) {
 			if t.Spec.Service == name && t.State == messenger.TaskRunning {
 				replicas++
 			}
 		}
-		for _, h := range o.books.VM(vm).Seen.Services {
-			if h.Service == name {
-				upstreams += h.Count
+		for _, u := range o.state.VM(vm).Seen.Services {
+			if u.Service == name {
+				upstreams += u.Count
 			}
 		}
 	}
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -40,7 +40,7 @@
 			delete(s.unassigned, at)
 		}
 	}
-	for _, t := range o.books.On(vm) {
+	for _, t := range o.state.On(vm) {
 		at := messenger.TaskAttempt{TaskID: t.Spec.ID, Attempt: t.Attempt}
 		if t.State == messenger.TaskRunning && !s.hasReport(at) {
 			o.endAttempt(t, attemptEnd{state: messenger.ReportLost, reason: "no longer reported by its VM", unreported: true}, nil)
@@ -55,8 +55,8 @@
 }
 
 func (o *owner) applyReport(s *session, vm string, at messenger.TaskAttempt, r messenger.TaskReport) {
-	t := o.books.Task(at.TaskID)
-	current := t != nil && t.Holds() && t.VM == vm && t.Attempt == at.Attempt
+	t := o.state.Task(at.TaskID)
+	current := t != nil && t.HoldsResources() && t.VM == vm && t.Attempt == at.Attempt
 	switch {
 	case current && r.State == messenger.ReportRunning:
 		if t.State == messenger.TaskStarting {
@@ -73,10 +73,10 @@
 			s.unassigned[at] = true
 			o.config.Reporter.Report(reporter.StrayStopped, reporter.Fields{"cell": o.config.Cell, "task": at.TaskID, "vm": vm, "attempt": at.Attempt})
 		}
-	case r.State == messenger.ReportCompleted && t != nil && !t.Final() && t.Stop != bookkeeper.StopDone &&
+	case r.State == messenger.ReportCompleted && t != nil && !t.Final() && t.Stop != bookkeeper.StopCompleted &&
 		at.Attempt <= t.Attempt && t.Spec.Service == "":
 		o.completeAfterLoss(s, vm, at)
-	case t != nil && t.State == messenger.TaskHeld && t.Unheard && at.Attempt == t.Attempt:
+	case t != nil && t.State == messenger.TaskHeld && t.EndUnreported && at.Attempt == t.Attempt:
 		o.requeueAfterLoss(s, vm, at, r)
 	case o.commits.uncommitted[at.TaskID] == 0:
 		// The end is already journalled, or was decided without this report.
@@ -88,7 +88,7 @@
 // VM was unreachable for longer than its lease, but had completed the task by then. If the
 // task ran to its end again, it would print its labels twice.
 func (o *owner) completeAfterLoss(s *session, vm string, at messenger.TaskAttempt) {
-	o.decide(bookkeeper.Record{DoneBefore: &bookkeeper.DoneBefore{Task: at.TaskID, Attempt: at.Attempt}}, reporter.TaskCompleted,
+	o.decide(bookkeeper.Record{CompletedEarlier: &bookkeeper.CompletedEarlier{Task: at.TaskID, Attempt: at.Attempt}}, reporter.TaskCompleted,
 		messenger.Decision{Task: at.TaskID, VM: vm, Reason: "an attempt that was assumed to be lost had completed it"}, func() { o.ack(s, at) })
 }
 
@@ -157,7 +157,7 @@
 		ended.Next = messenger.TaskCompleted
 		return reporter.TaskCompleted
 	}
-	if t.Stop == bookkeeper.StopDone {
+	if t.Stop == bookkeeper.StopCompleted {
 		ended.Next, ended.Reason = messenger.TaskCompleted, ""
 		return reporter.TaskCompleted
 	}
@@ -194,7 +194,7 @@
 	if !e.unreported || !class.HoldWhenLost {
 		return
 	}
-	ended.Next, ended.Unheard = messenger.TaskHeld, true
+	ended.Next, ended.EndUnreported = messenger.TaskHeld, true
 	ended.Reason = fmt.Sprintf("VM %s was lost before it reported whether the task completed; the task runs again if the VM returns and reports that it did not, otherwise cancel it and submit it again", t.VM)
 }
 
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -21,7 +21,7 @@
 	minLeaseMargin     = 250 * time.Millisecond
 	placementRetention = time.Minute
 	newVMDelay         = 1500 * time.Millisecond // no task starts on a new VM until its upstreams had this time to announce themselves
-	serviceHoldGrace   = 10 * time.Second        // capacity stays committed this long for an upstream that is no longer announced
+	serviceUsageGrace  = 10 * time.Second        // capacity stays committed this long for an upstream that is no longer announced
 )
 
 // session is the volatile state of a VM, which the owner keeps for one epoch.
@@ -154,14 +154,14 @@
 func (o *owner) recordVM(p messenger.Poll) {
 	seen := bookkeeper.VMSeen{
 		Capacity: p.Capacity, AgentID: p.AgentID, Incarnation: p.Incarnation,
-		Services: o.serviceHolds(p.Upstreams), Leaving: p.Leaving,
+		Services: o.serviceUsage(p.Upstreams), Leaving: p.Leaving,
 	}
 	code, reason := reporter.VMJoined, "first session of agent "+p.AgentID
-	s, v := o.session(p.Capacity.VM), o.books.VM(p.Capacity.VM)
+	s, v := o.session(p.Capacity.VM), o.state.VM(p.Capacity.VM)
 	if v == nil {
 		s.firstSeen = o.config.Now()
 	} else {
-		seen.Services = s.mergeHolds(v.Seen.Services, seen.Services, o.config.Now())
+		seen.Services = s.mergeServiceUsage(v.Seen.Services, seen.Services, o.config.Now())
 		if sameVM(v.Seen, seen) {
 			return
 		}
@@ -170,24 +170,24 @@
 	o.decide(bookkeeper.Record{VMSeen: &seen}, code, messenger.Decision{VM: p.Capacity.VM, Reason: reason}, nil)
 }
 
-// mergeHolds returns the capacity to commit for upstreams, given the earlier and the
-// announced holds. A restarted agent has no upstreams until they announce themselves
+// mergeServiceUsage returns the capacity to commit for upstreams, given the earlier and the
+// announced usage. A restarted agent has no upstreams until they announce themselves
 // again. If their capacity were freed meanwhile, tasks would use it and the VM would be
-// overcommitted a second later. A hold therefore shrinks only after fewer upstreams were
+// overcommitted a second later. The usage therefore shrinks only after fewer upstreams were
 // announced for longer than they take to announce themselves.
-func (s *session) mergeHolds(earlier, announced []bookkeeper.ServiceHold, now time.Time) []bookkeeper.ServiceHold {
+func (s *session) mergeServiceUsage(earlier, announced []bookkeeper.ServiceUsage, now time.Time) []bookkeeper.ServiceUsage {
 	if s.fewerSince == nil {
 		s.fewerSince = make(map[string]time.Time)
 	}
 	for _, old := range earlier {
-		at := slices.IndexFunc(announced, func(h bookkeeper.ServiceHold) bool { return h.Service == old.Service })
+		at := slices.IndexFunc(announced, func(u bookkeeper.ServiceUsage) bool { return u.Service == old.Service })
 		if at >= 0 && announced[at].Count >= old.Count {
 			delete(s.fewerSince, old.Service)
 			continue
 		}
 		if since, ok := s.fewerSince[old.Service]; !ok {
 			s.fewerSince[old.Service] = now
-		} else if now.Sub(since) > serviceHoldGrace {
+		} else if now.Sub(since) > serviceUsageGrace {
 			continue
 		}
 		if at >= 0 {
@@ -205,30 +205,30 @@
 		a.Leaving == b.Leaving && slices.Equal(a.Services, b.Services)
 }
 
-func (o *owner) serviceHolds(upstreams []messenger.Upstream) []bookkeeper.ServiceHold {
+func (o *owner) serviceUsage(upstreams []messenger.Upstream) []bookkeeper.ServiceUsage {
 	counts := make(map[string]int64)
 	for _, u := range upstreams {
 		counts[u.Service]++
 	}
-	holds := make([]bookkeeper.ServiceHold, 0, len(counts))
+	usage := make([]bookkeeper.ServiceUsage, 0, len(counts))
 	for name, n := range counts {
 		var needs describer.Resources
 		if s, ok := o.fleet.Service(name); ok {
 			needs = s.Needs
 		}
-		holds = append(holds, bookkeeper.ServiceHold{Service: name, Count: n, Needs: needs})
+		usage = append(usage, bookkeeper.ServiceUsage{Service: name, Count: n, Needs: needs})
 	}
-	sort.Slice(holds, func(i, j int) bool { return holds[i].Service < holds[j].Service })
-	return holds
+	sort.Slice(usage, func(i, j int) bool { return usage[i].Service < usage[j].Service })
+	return usage
 }
 
 // checkLeases ends the attempts on VMs whose lease has certainly expired. By then the
 // worker itself has ended them, so the tasks may run elsewhere.
 func (o *owner) checkLeases(now time.Time) {
 	leasesPending := false
-	for _, name := range o.books.VMs() {
+	for _, name := range o.state.VMs() {
 		s := o.session(name)
-		if !s.epochAcked && now.Before(o.leaseEnd(o.tookOver, o.priorLease)) {
+		if !s.epochAcked && now.Before(o.leaseEnd(o.takeoverAt, o.priorLease)) {
 			leasesPending = true
 		}
 		if now.Before(s.leaseUntil) {
@@ -238,7 +238,7 @@
 	}
 	if !leasesPending && !o.reconciled {
 		o.reconciled = true
-		o.decide(bookkeeper.Record{Settled: &bookkeeper.LeasesSettled{}}, reporter.LeasesSettled,
+		o.decide(bookkeeper.Record{EarlierLeasesExpired: &bookkeeper.EarlierLeasesExpired{}}, reporter.LeasesSettled,
 			messenger.Decision{Reason: "every VM has contacted this owner or its lease has expired"}, nil)
 	}
 }
@@ -246,15 +246,15 @@
 // expireVM ends the attempts on a VM whose lease has expired, and forgets a VM without
 // tasks after a long time without contact.
 func (o *owner) expireVM(name string, s *session, now time.Time) {
-	tasks := o.books.On(name)
+	tasks := o.state.On(name)
 	if len(tasks) > 0 {
 		o.config.Reporter.Report(reporter.VMLost, reporter.Fields{"cell": o.config.Cell, "vm": name, "tasks": len(tasks)})
 	}
 	for _, t := range tasks {
 		o.endAttempt(t, attemptEnd{state: messenger.ReportLost, reason: "lease of the VM expired", unreported: true}, nil)
 	}
-	if len(tasks) == 0 && now.Sub(s.lastPoll) > forgetVMAfter && now.Sub(o.tookOver) > forgetVMAfter {
-		o.decide(bookkeeper.Record{VMGone: &bookkeeper.VMGone{VM: name}}, reporter.VMGone,
+	if len(tasks) == 0 && now.Sub(s.lastPoll) > forgetVMAfter && now.Sub(o.takeoverAt) > forgetVMAfter {
+		o.decide(bookkeeper.Record{VMRemoved: &bookkeeper.VMRemoved{VM: name}}, reporter.VMGone,
 			messenger.Decision{VM: name, Reason: fmt.Sprintf("no contact for more than %s", forgetVMAfter)}, nil)
 		delete(o.sessions, name)
 	}
--- a/internal/control/controller/submission.go
+++ b/internal/control/controller/submission.go
@@ -79,7 +79,7 @@
 		v.Reason = err.Error()
 		return v
 	}
-	if t := o.books.Task(spec.ID); t != nil {
+	if t := o.state.Task(spec.ID); t != nil {
 		if t.Digest != digest {
 			v.Reason = "another task with different content has this id"
 			return v
@@ -165,9 +165,9 @@
 			return fmt.Sprintf("needs more than the quota of tenant %s", spec.Tenant)
 		}
 	}
-	vms := o.books.VMs()
+	vms := o.state.VMs()
 	for _, name := range vms {
-		if spec.Needs.Fits(o.books.VM(name).Seen.Capacity.Total) {
+		if spec.Needs.Fits(o.state.VM(name).Seen.Capacity.Total) {
 			return ""
 		}
 	}
@@ -185,11 +185,11 @@
 
 // checkHeld requeues the tasks whose reason to be held no longer applies.
 func (o *owner) checkHeld() {
-	if o.books.Count(messenger.TaskHeld) == 0 {
+	if o.state.Count(messenger.TaskHeld) == 0 {
 		return
 	}
-	for _, t := range o.books.Tasks() {
-		if t.State == messenger.TaskHeld && t.Unheard {
+	for _, t := range o.state.Tasks() {
+		if t.State == messenger.TaskHeld && t.EndUnreported {
 			o.requeueIfNeverStarted(t, o.config.Now())
 			continue
 		}
@@ -210,7 +210,7 @@
 	var reply messenger.CancelReply
 	wait := o.newCommitWait(func() { call.succeed(reply) })
 	for _, id := range r.IDs {
-		t := o.books.Task(id)
+		t := o.state.Task(id)
 		if t == nil {
 			reply.Unknown = append(reply.Unknown, id)
 			continue
@@ -218,7 +218,7 @@
 		reply.Cancelled += o.cancel(t, "cancelled by request", wait)
 	}
 	if r.Tenant != "" || r.Class != "" {
-		for _, t := range o.books.Tasks() {
+		for _, t := range o.state.Tasks() {
 			if t.Spec.Service == "" && (r.Tenant == "" || t.Spec.Tenant == r.Tenant) && (r.Class == "" || t.Spec.Class == r.Class) {
 				reply.Cancelled += o.cancel(t, "cancelled with its class or tenant", wait)
 			}
@@ -237,7 +237,7 @@
 			o.onCommit(wait.add())
 		}
 		return 1
-	case t.Holds():
+	case t.HoldsResources():
 		stopping := bookkeeper.Stopping{Task: t.Spec.ID, Attempt: t.Attempt, Kind: bookkeeper.StopCancel}
 		o.decide(bookkeeper.Record{Stopping: &stopping}, reporter.StopDecided, d, wait.add())
 		return 1
--- a/internal/control/controller/usage.go
+++ b/internal/control/controller/usage.go
@@ -12,7 +12,7 @@
 func (o *owner) observeUsage(s *session, p messenger.Poll) {
 	now := o.config.Now()
 	s.prunePlacements(now)
-	if p.Usage == nil || o.config.Observe == nil {
+	if p.Usage == nil || o.config.ObserveUsage == nil {
 		return
 	}
 	from, to := time.UnixMilli(p.Usage.FromMillis), time.UnixMilli(p.Usage.ToMillis)
@@ -22,7 +22,7 @@
 			placed = append(placed, h)
 		}
 	}
-	o.config.Observe(p.Capacity.VM, *p.Usage, placed)
+	o.config.ObserveUsage(p.Capacity.VM, *p.Usage, placed)
 }
 
 func (s *session) addPlacement(t *bookkeeper.Task, now time.Time) {
--- a/internal/control/controller/zone.go
+++ b/internal/control/controller/zone.go
@@ -74,7 +74,7 @@
 		return
 	}
 	byService := make(map[string][]*bookkeeper.Task)
-	for _, t := range o.books.Tasks() {
+	for _, t := range o.state.Tasks() {
 		if t.Spec.Service != "" && !t.Final() && t.Stop != bookkeeper.StopCancel {
 			byService[t.Spec.Service] = append(byService[t.Spec.Service], t)
 		}
@@ -94,7 +94,7 @@
 	var leaving, staying []*bookkeeper.Task
 	running := 0
 	for _, t := range have {
-		if t.Holds() && o.zoneOut(t.VM) {
+		if t.HoldsResources() && o.zoneOut(t.VM) {
 			leaving = append(leaving, t)
 			continue
 		}
@@ -132,7 +132,7 @@
 
 func (o *owner) addReplica(service describer.Service) {
 	id := ""
-	for n := o.books.NextOrder(); id == "" || o.books.Task(id) != nil; n++ {
+	for n := o.state.NextOrder(); id == "" || o.state.Task(id) != nil; n++ {
 		id = fmt.Sprintf("%s%s-%d", replicaPrefix, service.Name, n)
 	}
 	spec := messenger.TaskSpec{ID: id, Tenant: service.Tenant, Service: service.Name, Needs: service.Needs, Urgent: true}
--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -36,10 +36,10 @@
 	EntryID string
 	Address string        // RPC address of this process
 	Lease   time.Duration // 0: DefaultLease
-	// ReplaceOwn lets this process replace the record of its own earlier incarnation
+	// ReplaceOwnRecord lets this process replace the record of its own earlier incarnation
 	// without waiting for that lease to expire. The epoch alone must then protect
 	// whatever an owner does, because the earlier lease may still be valid.
-	ReplaceOwn bool
+	ReplaceOwnRecord bool
 	// Patience is the minimum time that this process leaves a vacant cell to other
 	// processes before it tries to acquire it. While the store is slow the delay is
 	// longer, up to the length of the lease.
@@ -85,8 +85,8 @@
 
 func (e *Elector) key() string { return fmt.Sprintf("cells/%s/owner", e.config.Cell) }
 
-// Known returns the owner as last read from the store.
-func (e *Elector) Known() (messenger.CellOwner, bool) {
+// LastSeenOwner returns the owner as last read from the store.
+func (e *Elector) LastSeenOwner() (messenger.CellOwner, bool) {
 	o := e.lastSeen.Load()
 	if o == nil || o.EntryID == "" || o.Epoch == 0 {
 		return messenger.CellOwner{}, false
@@ -196,7 +196,7 @@
 // one has ended.
 func (e *Elector) isOwnEarlierRecord(record keeper.Record) bool {
 	var o messenger.CellOwner
-	if !e.config.ReplaceOwn || json.Unmarshal(record.Value, &o) != nil {
+	if !e.config.ReplaceOwnRecord || json.Unmarshal(record.Value, &o) != nil {
 		return false
 	}
 	return o.EntryID == e.config.EntryID && o.Address == e.config.Address
@@ -315,8 +315,8 @@
 	return nil
 }
 
-// Keep renews the lease until the lease has expired or ctx ends.
-func (e *Elector) Keep(ctx context.Context) error {
+// RenewLease renews the lease until the lease has expired or ctx ends.
+func (e *Elector) RenewLease(ctx context.Context) error {
 	for {
 		if err := pauser.Pause(ctx, e.config.Lease/renewalsPerLease); err != nil {
 			return err
--- a/internal/control/elector/elector_test.go
+++ b/internal/control/elector/elector_test.go
@@ -26,7 +26,7 @@
 		want    bool // acquired before the first lease expires
 	}{
 		{"the same entry", "entry-1", "127.0.0.1:1", true, true},
-		{"the same entry without ReplaceOwn", "entry-1", "127.0.0.1:1", false, false},
+		{"the same entry without ReplaceOwnRecord", "entry-1", "127.0.0.1:1", false, false},
 		{"another entry", "entry-2", "127.0.0.1:2", true, false},
 		{"the same name at another address", "entry-1", "127.0.0.1:3", true, false},
 	}
@@ -43,7 +43,7 @@
 			if err := first.Publish(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
-			second := New(FromKeeper(Config{Cell: "c", EntryID: tt.id, Address: tt.address, Lease: lease, ReplaceOwn: tt.replace}, k))
+			second := New(FromKeeper(Config{Cell: "c", EntryID: tt.id, Address: tt.address, Lease: lease, ReplaceOwnRecord: tt.replace}, k))
 			ctx, cancel := context.WithTimeout(t.Context(), lease/2)
 			defer cancel()
 			if got := second.Acquire(ctx) == nil; got != tt.want {
--- a/internal/control/placer/helpers_test.go
+++ b/internal/control/placer/helpers_test.go
@@ -78,10 +78,10 @@
 	for _, th := range p.Throttles {
 		t := m.placed(th.TaskID)
 		t.Percent = th.Percent
-		m.vm(t.VM).Acted = m.s.Now
+		m.vm(t.VM).LastAdjustedAt = m.s.Now
 	}
 	for _, e := range p.Evictions {
-		m.vm(m.placed(e.TaskID).VM).Acted = m.s.Now
+		m.vm(m.placed(e.TaskID).VM).LastAdjustedAt = m.s.Now
 		m.end(e.TaskID)
 	}
 }
--- a/internal/control/placer/hold.go
+++ b/internal/control/placer/hold.go
@@ -31,7 +31,7 @@
 	if quota := r.tenant(t.Tenant).quota; !withinQuota(t.Needs, quota) {
 		return fmt.Sprintf("needs %s, more than the quota of tenant %s: %s", formatResources(t.Needs), t.Tenant, formatResources(quota))
 	}
-	if r.snapshot.Unsettled || len(r.vms) == 0 {
+	if r.snapshot.Unreconciled || len(r.vms) == 0 {
 		return ""
 	}
 	fits, ok := fitsByNeeds[t.Needs]
--- a/internal/control/placer/ladder_test.go
+++ b/internal/control/placer/ladder_test.go
@@ -42,20 +42,20 @@
 
 func TestLadder(t *testing.T) {
 	cases := []struct {
-		name    string
-		percent int
-		ratio   float64
-		reports int
-		acted   time.Duration // before now
-		budget  int
-		config  Config
-		want    string // "TASK PERCENT" or "move TASK"
+		name            string
+		percent         int
+		ratio           float64
+		reports         int
+		sinceAdjustment time.Duration // before now
+		budget          int
+		config          Config
+		want            string // "TASK PERCENT" or "move TASK"
 	}{
 		{name: "throttles the interfering task first", ratio: 1.3, reports: 2, budget: 3, want: "noisy 70"},
 		{name: "one report is not enough", ratio: 1.3, reports: 1, budget: 3},
 		{name: "one report far above the objective is enough", ratio: 2.5, reports: 1, budget: 3, want: "noisy 70"},
 		{name: "steps down", percent: 70, ratio: 1.3, reports: 2, budget: 3, want: "noisy 40"},
-		{name: "waits for reports that began after the last step", percent: 70, ratio: 1.3, reports: 4, acted: 7 * time.Second, budget: 3},
+		{name: "waits for reports that began after the last step", percent: 70, ratio: 1.3, reports: 4, sinceAdjustment: 7 * time.Second, budget: 3},
 		{name: "moves when throttling is exhausted", percent: 20, ratio: 1.3, reports: 2, budget: 3, want: "move noisy"},
 		{name: "does not exceed the eviction budget", percent: 20, ratio: 1.3, reports: 2},
 		{name: "moves without throttling in evict-only mode", ratio: 1.3, reports: 2, budget: 3, config: Config{Ladder: LadderEvictOnly}, want: "move noisy"},
@@ -70,8 +70,8 @@
 			m := loadedCell(c.percent, c.ratio)
 			m.s.Recent = windowsOf(m.s.Now, c.ratio, c.reports)
 			m.s.EvictionsLeft = c.budget
-			if c.acted > 0 {
-				m.s.VMs[0].Acted = m.s.Now.Add(-c.acted)
+			if c.sinceAdjustment > 0 {
+				m.s.VMs[0].LastAdjustedAt = m.s.Now.Add(-c.sinceAdjustment)
 			}
 			plan := New(c.config).Plan(m.s)
 			var got []string
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -21,10 +21,10 @@
 	Quarantined bool
 	Services    []string  // services with an upstream or a replica on the VM
 	ReturnedAt  time.Time // when its zone returned; zero if it did not return recently
-	// Acted is the time of the latest throttle or eviction decision for the VM,
+	// LastAdjustedAt is the time of the latest throttle or eviction decision for the VM,
 	// zero if there was none. Measurements that began earlier do not trigger
 	// the next step.
-	Acted time.Time
+	LastAdjustedAt time.Time
 }
 
 // Task describes a task to the placer.
@@ -71,10 +71,10 @@
 	Recent func(vm, service string) []Window
 	// EvictionsLeft is the remaining budget of planned evictions.
 	EvictionsLeft int
-	// Unsettled is set while some VMs of the cell may not be known yet, as
+	// Unreconciled is set while some VMs of the cell may not be known yet, as
 	// after a change of owner. No task is then held for being larger than every
 	// VM.
-	Unsettled bool
+	Unreconciled bool
 }
 
 // Start places a queued task.
--- a/internal/control/placer/share_test.go
+++ b/internal/control/placer/share_test.go
@@ -140,23 +140,23 @@
 	failed := queued("failed", "t0", cores(1))
 	failed.Avoid = map[string]bool{"vm-00": true, "vm-01": true}
 	cases := []struct {
-		name      string
-		task      Task
-		unsettled bool
-		reason    string // substring; empty if not held
-		starts    bool
+		name         string
+		task         Task
+		unreconciled bool
+		reason       string // substring; empty if not held
+		starts       bool
 	}{
 		{name: "larger than every VM", task: queued("x", "t0", cores(33)), reason: "more than any VM"},
 		{name: "no accelerators", task: queued("x", "t0", describer.Resources{Accelerators: 1}), reason: "more than any VM"},
 		{name: "larger than the quota", task: queued("x", "t1", cores(9)), reason: "quota of tenant t1"},
 		{name: "failed on every VM", task: failed, starts: true},
-		{name: "while VMs are still unknown", task: queued("x", "t0", cores(33)), unsettled: true},
+		{name: "while VMs are still unknown", task: queued("x", "t0", cores(33)), unreconciled: true},
 		{name: "fits a VM", task: queued("x", "t0", cores(32)), starts: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := describer.New(fleetOf(describer.Tenant{Name: "t1", Quota: cores(8)}))
-			plan := New(Config{}).Plan(Snapshot{Now: start, Fleet: f, VMs: vmsOf(2, "a"), Queued: []Task{c.task}, Unsettled: c.unsettled})
+			plan := New(Config{}).Plan(Snapshot{Now: start, Fleet: f, VMs: vmsOf(2, "a"), Queued: []Task{c.task}, Unreconciled: c.unreconciled})
 			got := ""
 			if len(plan.Holds) > 0 {
 				got = plan.Holds[0].Reason
--- a/internal/fleet/changer/changer.go
+++ b/internal/fleet/changer/changer.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		return false, keeper.Record{}, err
 	}
-	_, err = c.config.Keeper.SwapSettled(ctx, keeper.SwapOptions{Key: recorder.Key, Value: value, ExpectRevision: revision})
+	_, err = c.config.Keeper.SwapResolved(ctx, keeper.SwapOptions{Key: recorder.Key, Value: value, ExpectRevision: revision})
 	var conflict keeper.ErrConflict
 	switch {
 	case err == nil:
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -97,7 +97,7 @@
 		c.PolicyAge = func() time.Duration { return 0 }
 	}
 	e := elector.New(elector.Config{
-		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwn: true, Patience: c.Patience,
+		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, Patience: c.Patience,
 		FindRecords: c.Store.FindRecords, GetRecord: c.Store.GetRecord, CompareAndSwap: c.Store.CompareAndSwap, GrantLease: c.Store.GrantLease,
 		KeepAlive: c.Store.KeepAlive, RevokeLease: c.Store.RevokeLease, Watch: c.Store.Watch,
 	})
@@ -105,7 +105,7 @@
 }
 
 // Owner returns the last known owner of the cell.
-func (s *Scheduler) Owner() (messenger.CellOwner, bool) { return s.elector.Known() }
+func (s *Scheduler) Owner() (messenger.CellOwner, bool) { return s.elector.LastSeenOwner() }
 
 // Owns reports whether this process owns the cell.
 func (s *Scheduler) Owns() bool { return s.owner.Load() != nil }
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	keepErr := make(chan error, 1)
-	go func() { keepErr <- s.elector.Keep(ctx) }()
+	go func() { keepErr <- s.elector.RenewLease(ctx) }()
 	epoch, err := s.raiseEpoch(ctx)
 	if err != nil {
 		return err
@@ -260,7 +260,7 @@
 
 func (s *Scheduler) ownerInfo() messenger.WorkOwner {
 	w := messenger.WorkOwner{Entries: s.peers.list()}
-	if known, ok := s.elector.Known(); ok {
+	if known, ok := s.elector.LastSeenOwner(); ok {
 		w.Owner = known
 	}
 	return w
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -129,8 +129,8 @@
 	s.controller = controller.New(controller.Config{
 		Cell: c.Cell, EntryID: c.ID, RPCAddress: c.Advertise, Keeper: s.keeper,
 		Refresh: s.follower.Refresh, Fleet: s.follower.Fleet, Reporter: c.Reporter, Metrics: s.metrics,
-		Placer: placer.New(placer.Config{}), Observe: observeBatch(interference),
-		Interference: interference.Interference, Pressure: interference.Pressure, Recent: interference.Recent,
+		Placer: placer.New(placer.Config{}), ObserveUsage: observeBatch(interference),
+		Interference: interference.Interference, Pressure: interference.Pressure, RecentWindows: interference.Recent,
 		OwnerLease: c.OwnerLease, VMLease: c.VMLease, OutageLease: c.OutageLease,
 	})
 	s.forwarder = forwarder.New(forwarder.Config{
--- a/internal/standin/storer/storer_test.go
+++ b/internal/standin/storer/storer_test.go
@@ -209,7 +209,7 @@
 		}
 		before := s.Record("a")
 		s.SetFaults(storer.Faults{LoseAnswers: 0.5})
-		revision, err := k.SwapSettled(ctx, keeper.SwapOptions{Key: "a", Value: []byte("mine")})
+		revision, err := k.SwapResolved(ctx, keeper.SwapOptions{Key: "a", Value: []byte("mine")})
 		now := s.Record("a")
 		switch {
 		case err == nil && (string(now.Value) != "mine" || now.Revision != revision):
@@ -235,7 +235,7 @@
 		}
 		s.SetFaults(storer.Faults{Down: true})
 	}()
-	if _, err := k.SwapSettled(ctx, keeper.SwapOptions{Key: "a", Value: []byte("x")}); !keeper.IsErrOutcomeUnknown(err) {
+	if _, err := k.SwapResolved(ctx, keeper.SwapOptions{Key: "a", Value: []byte("x")}); !keeper.IsErrOutcomeUnknown(err) {
 		t.Fatal(err)
 	}
 }
--- a/internal/store/keeper/resolve.go
+++ b/internal/store/keeper/resolve.go
@@ -13,7 +13,7 @@
 	maxRetryPause = 320 * time.Millisecond
 )
 
-// SwapSettled is CompareAndSwap that resolves the outcome of a write whose answer was
+// SwapResolved is CompareAndSwap that resolves the outcome of a write whose answer was
 // lost, until ctx ends. The value must be unique to this change.
 //
 // After a lost answer it is unknown whether the record was written, and a delayed
@@ -22,7 +22,7 @@
 // answer: either it succeeds, or the conflict contains the current record. If that
 // record is the one to be written, the lost write took effect. ErrOutcomeUnknown is
 // returned only when there was no definite answer before ctx ended.
-func (k *Keeper) SwapSettled(ctx context.Context, o SwapOptions) (int64, error) {
+func (k *Keeper) SwapResolved(ctx context.Context, o SwapOptions) (int64, error) {
 	pause := minRetryPause
 	var unknown error // set once an answer was lost
 	for {
