--- a/internal/agent/gatekeeper/gatekeeper.go
+++ b/internal/agent/gatekeeper/gatekeeper.go
@@ -181,13 +181,13 @@
 	defer g.mu.Unlock()
 	u, ok := g.upstreams[r.Upstream]
 	if !ok || u.service != r.Service {
-		return nil, nil, refuse(r, messenger.ReasonGone, nil)
+		return nil, nil, refuse(r, messenger.ReasonUnknownUpstream, nil)
 	}
 	switch g.stateOf(u, now) {
 	case messenger.UpstreamLeaving:
 		return nil, nil, refuse(r, messenger.ReasonLeaving, u)
 	case messenger.UpstreamDown:
-		return nil, nil, refuse(r, messenger.ReasonGone, u)
+		return nil, nil, refuse(r, messenger.ReasonUnknownUpstream, u)
 	}
 	if r.TimeoutMillis <= 0 {
 		return nil, nil, refuse(r, "the deadline has passed", u)
@@ -254,7 +254,7 @@
 		return messenger.ReasonLeaving
 	}
 	if now.Sub(u.renewed) > g.config.Expiry {
-		return messenger.ReasonGone
+		return messenger.ReasonUnknownUpstream
 	}
 	return ""
 }
--- a/internal/agent/gatekeeper/gatekeeper_test.go
+++ b/internal/agent/gatekeeper/gatekeeper_test.go
@@ -73,15 +73,15 @@
 			g.Leave("u1")
 			g.Renew(Announcement{ID: "u1", Service: "s", Address: "127.0.0.1:1", SentAtMillis: sent})
 		}, messenger.ReasonLeaving},
-		{"no renewal for 3 s", func(_ *Gatekeeper, c *clock, _ *messenger.RunRequest) { c.add(3*time.Second + time.Millisecond) }, messenger.ReasonGone},
+		{"no renewal for 3 s", func(_ *Gatekeeper, c *clock, _ *messenger.RunRequest) { c.add(3*time.Second + time.Millisecond) }, messenger.ReasonUnknownUpstream},
 		{"agent paused, then an old renewal", func(g *Gatekeeper, c *clock, _ *messenger.RunRequest) {
 			sent := c.read().UnixMilli()
 			c.add(4 * time.Second)
 			g.Renew(Announcement{ID: "u1", Service: "s", Address: "127.0.0.1:1", SentAtMillis: sent})
-		}, messenger.ReasonGone},
+		}, messenger.ReasonUnknownUpstream},
 		{"draining", func(g *Gatekeeper, _ *clock, _ *messenger.RunRequest) { g.Drain(context.Background()) }, messenger.ReasonLeaving},
-		{"unknown upstream", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.Upstream = "u2" }, messenger.ReasonGone},
-		{"another service", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.Service = "x" }, messenger.ReasonGone},
+		{"unknown upstream", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.Upstream = "u2" }, messenger.ReasonUnknownUpstream},
+		{"another service", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.Service = "x" }, messenger.ReasonUnknownUpstream},
 		{"no time left", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.TimeoutMillis = 0 }, "the deadline has passed"},
 		{"bad path", func(_ *Gatekeeper, _ *clock, r *messenger.RunRequest) { r.Path = "" }, `parse path: parse "": empty url`},
 	}
--- a/internal/agent/runner/order.go
+++ b/internal/agent/runner/order.go
@@ -138,7 +138,7 @@
 		return "order of an earlier owner"
 	case r.leaving.Load():
 		return "agent is leaving"
-	case r.elapsed(sent, now) > messenger.FromMillis(o.VoidAfterMillis):
+	case r.elapsed(sent, now) > messenger.FromMillis(o.ExpiresAfterMillis):
 		// The zone may have been taken out since the owner decided; the expiry of
 		// the order bounds how long a paused process can delay it.
 		return "order expired before it was executed"
@@ -207,7 +207,7 @@
 		TaskID: o.TaskID, Attempt: o.Attempt, Needs: o.Needs, Class: o.Class, Tenant: o.Tenant,
 		Service: o.Service, Payload: o.Payload, Checkpoint: o.Checkpoint, RunTime: messenger.FromMillis(o.RunTime),
 		LeaseUntil: r.leaseUntil.Round(0),
-		StartBy:    sent.Round(0).Add(messenger.FromMillis(o.VoidAfterMillis)),
+		StartBy:    sent.Round(0).Add(messenger.FromMillis(o.ExpiresAfterMillis)),
 	})
 	switch {
 	case err == nil:
--- a/internal/agent/runner/runner_test.go
+++ b/internal/agent/runner/runner_test.go
@@ -63,7 +63,7 @@
 
 func start(id string, attempt, epoch, millicores int64) messenger.Order {
 	return messenger.Order{
-		Kind: messenger.OrderStart, TaskID: id, Attempt: attempt, Epoch: epoch, VoidAfterMillis: 2000,
+		Kind: messenger.OrderStart, TaskID: id, Attempt: attempt, Epoch: epoch, ExpiresAfterMillis: 2000,
 		Needs: describer.Resources{Millicores: millicores}, RunTime: 60000,
 	}
 }
--- a/internal/cli/commander/submit.go
+++ b/internal/cli/commander/submit.go
@@ -38,10 +38,10 @@
 
 // submitAnswer is the output of submit.
 type submitAnswer struct {
-	Accepted int                       `json:"accepted"`
-	Refused  int                       `json:"refused"`
-	Verdicts []messenger.SubmitVerdict `json:"verdicts"`
-	Tasks    []messenger.Task          `json:"tasks,omitempty"` // with --wait: how they ended
+	Accepted int                      `json:"accepted"`
+	Refused  int                      `json:"refused"`
+	Results  []messenger.SubmitResult `json:"verdicts"`
+	Tasks    []messenger.Task         `json:"tasks,omitempty"` // with --wait: how they ended
 }
 
 func newSubmitCommand() *cobra.Command {
@@ -166,15 +166,15 @@
 	for chunk := range slices.Chunk(specs, tasksPerRequest) {
 		reply, err := q.Submit(cmd.Context(), chunk)
 		if err != nil {
-			if len(a.Verdicts) > 0 || requester.IsErrOutcomeUnknown(err) {
-				err = fmt.Errorf("%w\nthe outcome of %d of %d tasks is known; submit again with the same --id or --id-prefix (%s) to resolve the rest", err, len(a.Verdicts), len(specs), specs[0].ID)
+			if len(a.Results) > 0 || requester.IsErrOutcomeUnknown(err) {
+				err = fmt.Errorf("%w\nthe outcome of %d of %d tasks is known; submit again with the same --id or --id-prefix (%s) to resolve the rest", err, len(a.Results), len(specs), specs[0].ID)
 			}
 			return s.fail(cmd, "", err)
 		}
 		a.add(reply)
 	}
 	if s.wait && a.Accepted > 0 {
-		tasks, err := s.waitForTasks(cmd.Context(), q, a.Verdicts)
+		tasks, err := s.waitForTasks(cmd.Context(), q, a.Results)
 		if err != nil {
 			return s.fail(cmd, "", err)
 		}
@@ -187,8 +187,8 @@
 }
 
 func (a *submitAnswer) add(r messenger.SubmitReply) {
-	a.Verdicts = append(a.Verdicts, r.Verdicts...)
-	for _, v := range r.Verdicts {
+	a.Results = append(a.Results, r.Results...)
+	for _, v := range r.Results {
 		if v.Accepted {
 			a.Accepted++
 		} else {
@@ -208,7 +208,7 @@
 	if bad == 0 {
 		return nil
 	}
-	return ExitError{Code: ExitFailed, Err: fmt.Errorf("%d of %d tasks were refused or did not complete", bad, len(a.Verdicts))}
+	return ExitError{Code: ExitFailed, Err: fmt.Errorf("%d of %d tasks were refused or did not complete", bad, len(a.Results))}
 }
 
 // isFinal reports whether a task in state s makes no further progress without a command.
@@ -217,11 +217,11 @@
 }
 
 // waitForTasks polls the accepted tasks until all have ended.
-func (s *submitFlags) waitForTasks(ctx context.Context, q *requester.Requester, verdicts []messenger.SubmitVerdict) ([]messenger.Task, error) {
+func (s *submitFlags) waitForTasks(ctx context.Context, q *requester.Requester, results []messenger.SubmitResult) ([]messenger.Task, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.waitTimeout)
 	defer cancel()
 	var pending []string
-	for _, v := range verdicts {
+	for _, v := range results {
 		if v.Accepted {
 			pending = append(pending, v.ID)
 		}
@@ -254,7 +254,7 @@
 func writeSubmitted(w io.Writer, a submitAnswer) {
 	fmt.Fprintf(w, "%d accepted, %d refused\n", a.Accepted, a.Refused)
 	rows := [][]string{{"TASK", "STATE", "REASON"}}
-	for _, v := range a.Verdicts {
+	for _, v := range a.Results {
 		if !v.Accepted || v.Reason != "" {
 			state := string(v.State)
 			if !v.Accepted {
@@ -275,7 +275,7 @@
 	}
 	if len(a.Tasks) > 0 {
 		fmt.Fprintf(w, "%d completed, %d cancelled, %d held\n", counts[messenger.TaskCompleted], counts[messenger.TaskCancelled], counts[messenger.TaskHeld])
-	} else if len(a.Verdicts) > 0 {
-		fmt.Fprintf(w, "first id %s, last id %s\n", a.Verdicts[0].ID, a.Verdicts[len(a.Verdicts)-1].ID)
+	} else if len(a.Results) > 0 {
+		fmt.Fprintf(w, "first id %s, last id %s\n", a.Results[0].ID, a.Results[len(a.Results)-1].ID)
 	}
 }
--- a/internal/control/bookkeeper/apply.go
+++ b/internal/control/bookkeeper/apply.go
@@ -291,15 +291,15 @@
 	case r.ClaimClosed != nil:
 		k := claimKey(r.ClaimClosed.Tenant, r.ClaimClosed.Key)
 		c := s.data.Claims[k]
-		if c == nil || c.RequestID != r.ClaimClosed.RequestID || c.State == messenger.ClaimSettled {
+		if c == nil || c.RequestID != r.ClaimClosed.RequestID || c.State == messenger.ClaimResolved {
 			return ErrInvalidRecord{r.ClaimClosed.Key, fmt.Sprintf("key has no open claim of request %q", r.ClaimClosed.RequestID)}
 		}
 		switch r.ClaimClosed.Outcome {
 		case messenger.OutcomeNotRun:
 			delete(s.data.Claims, k)
 		case messenger.OutcomeRun:
-			c.State, c.Answer = messenger.ClaimSettled, r.ClaimClosed.Answer
-			s.keepAnswer(k, c)
+			c.State, c.Answer = messenger.ClaimResolved, r.ClaimClosed.Answer
+			s.storeAnswer(k, c)
 		default:
 			c.State = messenger.ClaimHeld
 		}
@@ -309,40 +309,40 @@
 				delete(s.data.Claims, k)
 			}
 		}
-		s.dropAnswers(func(a keptAnswer) bool { return s.data.Claims[a.Claim] == nil })
+		s.dropAnswers(func(a storedAnswer) bool { return s.data.Claims[a.Claim] == nil })
 	}
 	return nil
 }
 
-// keepAnswer limits the total size of kept answers, which are part of each
+// storeAnswer limits the total size of stored answers, which are part of each
 // snapshot. The oldest bodies are dropped; a repeat of such a request gets only
 // the status that shows that it ran.
-func (s *CellState) keepAnswer(key string, c *Claim) {
+func (s *CellState) storeAnswer(key string, c *Claim) {
 	if c.Answer == nil || len(c.Answer.Body) == 0 {
 		return
 	}
-	s.data.KeptAnswers = append(s.data.KeptAnswers, keptAnswer{key, len(c.Answer.Body)})
+	s.data.StoredAnswers = append(s.data.StoredAnswers, storedAnswer{key, len(c.Answer.Body)})
 	s.data.AnswerBytes += len(c.Answer.Body)
 	for s.data.AnswerBytes > maxAnswerBytes {
-		oldest := s.data.KeptAnswers[0]
+		oldest := s.data.StoredAnswers[0]
 		if old := s.data.Claims[oldest.Claim]; old != nil && old.Answer != nil {
-			old.Answer = &messenger.KeptAnswer{Status: old.Answer.Status}
+			old.Answer = &messenger.StoredAnswer{Status: old.Answer.Status}
 		}
-		s.data.KeptAnswers = s.data.KeptAnswers[1:]
+		s.data.StoredAnswers = s.data.StoredAnswers[1:]
 		s.data.AnswerBytes -= oldest.Bytes
 	}
 }
 
-func (s *CellState) dropAnswers(drop func(keptAnswer) bool) {
-	kept := s.data.KeptAnswers[:0]
-	for _, a := range s.data.KeptAnswers {
+func (s *CellState) dropAnswers(drop func(storedAnswer) bool) {
+	kept := s.data.StoredAnswers[:0]
+	for _, a := range s.data.StoredAnswers {
 		if drop(a) {
 			s.data.AnswerBytes -= a.Bytes
 			continue
 		}
 		kept = append(kept, a)
 	}
-	s.data.KeptAnswers = kept
+	s.data.StoredAnswers = kept
 }
 
 // recordDecision numbers a decision and stores it. The latest decisions of the
--- a/internal/control/bookkeeper/bookkeeper.go
+++ b/internal/control/bookkeeper/bookkeeper.go
@@ -13,12 +13,12 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits of the kept history.
+// Limits of the stored history.
 const (
 	maxDecisions     = 4096
 	maxTaskDecisions = 16
 	maxFinished      = 20000
-	maxAnswerBytes   = 16 << 20 // of all kept answers together
+	maxAnswerBytes   = 16 << 20 // of all stored answers together
 )
 
 // Task is the recorded state of a task.
@@ -71,32 +71,32 @@
 // Claim is the right to run a keyed request.
 type Claim struct {
 	Claimed
-	At     time.Time             `json:"at"`
-	State  messenger.ClaimState  `json:"state"` // granted, held or resolved
-	Answer *messenger.KeptAnswer `json:"answer,omitempty"`
+	At     time.Time               `json:"at"`
+	State  messenger.ClaimState    `json:"state"` // granted, held or resolved
+	Answer *messenger.StoredAnswer `json:"answer,omitempty"`
 }
 
 // state is the part of CellState that is encoded in snapshots.
 type state struct {
-	Epoch        int64                         `json:"epoch"`
-	Owner        string                        `json:"owner"`
-	VMLease      time.Duration                 `json:"vm-lease"`
-	MaxLease     time.Duration                 `json:"max-lease"` // longest lease that an epoch not yet reconciled may have granted
-	NextOrder    int64                         `json:"next-order"`
-	NextDecision int64                         `json:"next-event"`
-	Tasks        map[string]*Task              `json:"tasks"`
-	VMs          map[string]*VM                `json:"vms"`
-	Claims       map[string]*Claim             `json:"claims"`
-	Decisions    map[int64]*messenger.Decision `json:"decisions"`
-	Finished     []string                      `json:"finished"`  // oldest first
-	OwnLease     time.Duration                 `json:"own-lease"` // longest lease that the current owner may grant
-	KeptAnswers  []keptAnswer                  `json:"answered"`  // claims with an answer, oldest first
-	AnswerBytes  int                           `json:"answers"`   // total bytes of these answers
+	Epoch         int64                         `json:"epoch"`
+	Owner         string                        `json:"owner"`
+	VMLease       time.Duration                 `json:"vm-lease"`
+	MaxLease      time.Duration                 `json:"max-lease"` // longest lease that an epoch not yet reconciled may have granted
+	NextOrder     int64                         `json:"next-order"`
+	NextDecision  int64                         `json:"next-event"`
+	Tasks         map[string]*Task              `json:"tasks"`
+	VMs           map[string]*VM                `json:"vms"`
+	Claims        map[string]*Claim             `json:"claims"`
+	Decisions     map[int64]*messenger.Decision `json:"decisions"`
+	Finished      []string                      `json:"finished"`  // oldest first
+	OwnLease      time.Duration                 `json:"own-lease"` // longest lease that the current owner may grant
+	StoredAnswers []storedAnswer                `json:"answered"`  // claims with an answer, oldest first
+	AnswerBytes   int                           `json:"answers"`   // total bytes of these answers
 }
 
-// keptAnswer refers to a claim whose answer is kept and gives the size of its
+// storedAnswer refers to a claim whose answer is stored and gives the size of its
 // body.
-type keptAnswer struct {
+type storedAnswer struct {
 	Claim string `json:"claim"`
 	Bytes int    `json:"bytes"`
 }
--- a/internal/control/bookkeeper/bookkeeper_test.go
+++ b/internal/control/bookkeeper/bookkeeper_test.go
@@ -203,25 +203,25 @@
 		key := fmt.Sprint("k", n)
 		for _, r := range []Record{
 			{At: start, Claimed: &Claimed{Tenant: "x", Key: key, RequestID: "r"}},
-			{At: start, ClaimClosed: &ClaimClosed{Tenant: "x", Key: key, RequestID: "r", Outcome: messenger.OutcomeRun, Answer: &messenger.KeptAnswer{Status: 200, Body: body, Whole: true}}},
+			{At: start, ClaimClosed: &ClaimClosed{Tenant: "x", Key: key, RequestID: "r", Outcome: messenger.OutcomeRun, Answer: &messenger.StoredAnswer{Status: 200, Body: body, Complete: true}}},
 		} {
 			if err := b.Apply(r); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	whole := 0
+	complete := 0
 	for n := range requests {
 		c := b.Claim("x", fmt.Sprint("k", n))
-		if c.State != messenger.ClaimSettled || c.Answer.Status != 200 {
+		if c.State != messenger.ClaimResolved || c.Answer.Status != 200 {
 			t.Errorf("claim %d: %+v", n, c)
 		}
-		if c.Answer.Whole {
-			whole++
+		if c.Answer.Complete {
+			complete++
 		}
 	}
-	if want := maxAnswerBytes / len(body); whole != want {
-		t.Errorf("%d answers kept, want %d", whole, want)
+	if want := maxAnswerBytes / len(body); complete != want {
+		t.Errorf("%d answers stored, want %d", complete, want)
 	}
 	if err := b.Apply(Record{At: start, OldClaimsRemoved: &OldClaimsRemoved{Before: start.Add(time.Hour)}}); err != nil || b.data.AnswerBytes != 0 || b.CountClaims() != 0 {
 		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", b.data.AnswerBytes, b.CountClaims(), err)
--- a/internal/control/bookkeeper/record.go
+++ b/internal/control/bookkeeper/record.go
@@ -171,11 +171,11 @@
 
 // ClaimClosed records how a claimed request ended.
 type ClaimClosed struct {
-	Tenant    string                `json:"tenant"`
-	Key       string                `json:"key"`
-	RequestID string                `json:"request-id"`
-	Outcome   messenger.Outcome     `json:"outcome"`
-	Answer    *messenger.KeptAnswer `json:"answer,omitempty"`
+	Tenant    string                  `json:"tenant"`
+	Key       string                  `json:"key"`
+	RequestID string                  `json:"request-id"`
+	Outcome   messenger.Outcome       `json:"outcome"`
+	Answer    *messenger.StoredAnswer `json:"answer,omitempty"`
 }
 
 // OldClaimsRemoved removes claims made before a time.
--- a/internal/control/controller/cell_test.go
+++ b/internal/control/controller/cell_test.go
@@ -178,13 +178,13 @@
 	c.t.Fatalf("%s: not reached within %s; status %+v, %v", what, testLimit, s, err)
 }
 
-func (c *cell) submit(specs ...messenger.TaskSpec) []messenger.SubmitVerdict {
+func (c *cell) submit(specs ...messenger.TaskSpec) []messenger.SubmitResult {
 	c.t.Helper()
 	var reply messenger.SubmitReply
 	c.waitFor("submission", func() bool {
 		return c.call(c.ctx, messenger.MethodSubmit, messenger.SubmitRequest{Cell: "c1", Tasks: specs}, &reply) == nil
 	})
-	return reply.Verdicts
+	return reply.Results
 }
 
 func (c *cell) task(id string) messenger.Task {
--- a/internal/control/controller/claim.go
+++ b/internal/control/controller/claim.go
@@ -12,7 +12,7 @@
 	claimRetention     = 24 * time.Hour
 	claimSweepInterval = 10 * time.Minute
 	maxClaims          = 100000
-	maxKeptBodyBytes   = 16 << 10
+	maxStoredBodyBytes = 16 << 10
 	// notRunRetention is the minimum time for which a request that ended without running is
 	// remembered. No claim is in transit for that long: its sender abandons each try within
 	// a second.
@@ -69,18 +69,18 @@
 }
 
 // handleResolveClaim journals how a claimed request ended.
-func (o *owner) handleResolveClaim(call callEvent, r messenger.SettleRequest) {
+func (o *owner) handleResolveClaim(call callEvent, r messenger.ResolveClaimRequest) {
 	if r.Outcome == messenger.OutcomeNotRun {
 		o.notRun.add(r.RequestID, o.config.Now())
 	}
 	c := o.state.Claim(r.Tenant, r.Key)
-	if c == nil || c.RequestID != r.RequestID || c.State == messenger.ClaimSettled {
+	if c == nil || c.RequestID != r.RequestID || c.State == messenger.ClaimResolved {
 		o.onCommit(func() { call.succeed(messenger.Empty{}) })
 		return
 	}
 	closed := bookkeeper.ClaimClosed{Tenant: r.Tenant, Key: r.Key, RequestID: r.RequestID, Outcome: r.Outcome, Answer: r.Answer}
-	if r.Answer != nil && len(r.Answer.Body) > maxKeptBodyBytes {
-		closed.Answer = &messenger.KeptAnswer{Status: r.Answer.Status, Header: r.Answer.Header}
+	if r.Answer != nil && len(r.Answer.Body) > maxStoredBodyBytes {
+		closed.Answer = &messenger.StoredAnswer{Status: r.Answer.Status, Header: r.Answer.Header}
 	}
 	o.decide(bookkeeper.Record{ClaimClosed: &closed}, 0, messenger.Decision{}, func() { call.succeed(messenger.Empty{}) })
 }
--- a/internal/control/controller/claim_test.go
+++ b/internal/control/controller/claim_test.go
@@ -12,7 +12,7 @@
 func TestLateClaimOfEndedRequest(t *testing.T) {
 	to := newTestOwner(t)
 	claim := messenger.ClaimRequest{Tenant: "caroni", Service: "s", Key: "k", Digest: "d", RequestID: "first"}
-	to.handleResolveClaim(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "first", Outcome: messenger.OutcomeNotRun})
+	to.handleResolveClaim(to.call(), messenger.ResolveClaimRequest{Tenant: "caroni", Key: "k", RequestID: "first", Outcome: messenger.OutcomeNotRun})
 	to.handleClaim(to.call(), claim)
 	if to.state.Claim("caroni", "k") != nil {
 		t.Error("the claim of a request that has ended was granted")
@@ -23,7 +23,7 @@
 		t.Errorf("claim of the second request: %+v", c)
 	}
 	// The same if a duplicate of a granted claim arrives late.
-	to.handleResolveClaim(to.call(), messenger.SettleRequest{Tenant: "caroni", Key: "k", RequestID: "second", Outcome: messenger.OutcomeNotRun})
+	to.handleResolveClaim(to.call(), messenger.ResolveClaimRequest{Tenant: "caroni", Key: "k", RequestID: "second", Outcome: messenger.OutcomeNotRun})
 	to.handleClaim(to.call(), claim)
 	if to.state.Claim("caroni", "k") != nil {
 		t.Error("a late duplicate of a claim was granted")
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -239,8 +239,8 @@
 		return connector.Decode[messenger.CancelRequest](params)
 	case messenger.MethodClaim:
 		return connector.Decode[messenger.ClaimRequest](params)
-	case messenger.MethodSettle:
-		return connector.Decode[messenger.SettleRequest](params)
+	case messenger.MethodResolveClaim:
+		return connector.Decode[messenger.ResolveClaimRequest](params)
 	case messenger.MethodFindTasks:
 		return connector.Decode[messenger.FindTasksOptions](params)
 	case messenger.MethodStatus:
--- a/internal/control/controller/controller_test.go
+++ b/internal/control/controller/controller_test.go
@@ -202,13 +202,13 @@
 		}
 	}
 	expect("other request at the successor", claim("r2", "d"), messenger.ClaimHeld)
-	resolve := messenger.SettleRequest{Cell: "c1", Tenant: "caroni", Key: "k", RequestID: "r1", Outcome: messenger.OutcomeRun, Answer: &messenger.KeptAnswer{Status: 201, Whole: true}}
-	if err := c.call(c.ctx, messenger.MethodSettle, resolve, &messenger.Empty{}); err != nil {
+	resolve := messenger.ResolveClaimRequest{Cell: "c1", Tenant: "caroni", Key: "k", RequestID: "r1", Outcome: messenger.OutcomeRun, Answer: &messenger.StoredAnswer{Status: 201, Complete: true}}
+	if err := c.call(c.ctx, messenger.MethodResolveClaim, resolve, &messenger.Empty{}); err != nil {
 		t.Fatal(err)
 	}
 	got := claim("r2", "d")
-	expect("after it ran", got, messenger.ClaimSettled)
+	expect("after it ran", got, messenger.ClaimResolved)
 	if got.Answer == nil || got.Answer.Status != 201 {
-		t.Errorf("kept answer: %+v", got.Answer)
+		t.Errorf("stored answer: %+v", got.Answer)
 	}
 }
--- a/internal/control/controller/order.go
+++ b/internal/control/controller/order.go
@@ -189,7 +189,7 @@
 		if !o.contactFresh(now) || o.zoneOut(t.VM) || now.Sub(s.pending.call.received) > startValidity {
 			return order, false
 		}
-		order.Kind, order.VoidAfterMillis = messenger.OrderStart, startValidity.Milliseconds()
+		order.Kind, order.ExpiresAfterMillis = messenger.OrderStart, startValidity.Milliseconds()
 		order.Needs, order.Class, order.Tenant, order.Service = t.Spec.Needs, t.Spec.Class, t.Spec.Tenant, t.Spec.Service
 		order.Payload, order.RunTime, order.Checkpoint = t.Spec.Payload, t.Spec.RunTimeMillis, t.Checkpoint
 		return order, true
--- a/internal/control/controller/owner.go
+++ b/internal/control/controller/owner.go
@@ -243,7 +243,7 @@
 		o.handleCancel(call, r)
 	case messenger.ClaimRequest:
 		o.handleClaim(call, r)
-	case messenger.SettleRequest:
+	case messenger.ResolveClaimRequest:
 		o.handleResolveClaim(call, r)
 	case messenger.FindTasksOptions:
 		call.succeed(o.findTasks(r))
--- a/internal/control/controller/submission.go
+++ b/internal/control/controller/submission.go
@@ -30,10 +30,10 @@
 		o.deferred = append(o.deferred, deferredSubmit{call, r})
 		return
 	}
-	reply := messenger.SubmitReply{Verdicts: make([]messenger.SubmitVerdict, len(r.Tasks))}
+	reply := messenger.SubmitReply{Results: make([]messenger.SubmitResult, len(r.Tasks))}
 	wait := o.newCommitWait(func() { call.succeed(reply) })
 	for i, spec := range r.Tasks {
-		reply.Verdicts[i] = o.submit(spec, wait)
+		reply.Results[i] = o.submit(spec, wait)
 	}
 	wait.done()
 }
@@ -72,8 +72,8 @@
 	}
 }
 
-func (o *owner) submit(spec messenger.TaskSpec, wait *commitWait) messenger.SubmitVerdict {
-	v := messenger.SubmitVerdict{ID: spec.ID}
+func (o *owner) submit(spec messenger.TaskSpec, wait *commitWait) messenger.SubmitResult {
+	v := messenger.SubmitResult{ID: spec.ID}
 	digest, err := digestOf(spec)
 	if err != nil {
 		v.Reason = err.Error()
--- a/internal/demo/demonstrator/load.go
+++ b/internal/demo/demonstrator/load.go
@@ -149,7 +149,7 @@
 func (t *observations) accept(reply messenger.SubmitReply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, v := range reply.Verdicts {
+	for _, v := range reply.Results {
 		if v.Accepted {
 			t.submitted[v.ID] = true
 		}
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// MaxKeptBodyBytes is the size of the largest answer body that is kept for
+	// MaxStoredBodyBytes is the size of the largest answer body that is stored for
 	// repeats of a key.
-	MaxKeptBodyBytes          = 16 << 10
+	MaxStoredBodyBytes        = 16 << 10
 	claimAttemptTimeout       = time.Second
 	unavailableAttemptTimeout = 100 * time.Millisecond // for the only attempt during unavailablePeriod
 	// claimRetryPeriod bounds the retries of a claim while the owner can't grant
@@ -145,8 +145,8 @@
 // background. The returned channel is closed when the owner has acknowledged it or
 // the retries have ended. Until the owner has the outcome it refuses repeats of the
 // key, so a lost report can't make a request run twice.
-func (c *Claimer) Resolve(o Options, outcome messenger.Outcome, answer *messenger.KeptAnswer) <-chan struct{} {
-	req := messenger.SettleRequest{
+func (c *Claimer) Resolve(o Options, outcome messenger.Outcome, answer *messenger.StoredAnswer) <-chan struct{} {
+	req := messenger.ResolveClaimRequest{
 		Cell: c.config.Cell, Tenant: o.Tenant, Key: o.Key, RequestID: o.RequestID,
 		Outcome: outcome, Answer: copyForReplay(answer),
 	}
@@ -167,11 +167,11 @@
 	return done
 }
 
-func (c *Claimer) sendOutcome(ctx context.Context, req messenger.SettleRequest) error {
+func (c *Claimer) sendOutcome(ctx context.Context, req messenger.ResolveClaimRequest) error {
 	backoff := minBackoff
 	for {
 		attempt, cancel := context.WithTimeout(ctx, resolveAttemptTimeout)
-		err := c.config.CallCell(attempt, c.config.Cell, messenger.MethodSettle, req, &messenger.Empty{})
+		err := c.config.CallCell(attempt, c.config.Cell, messenger.MethodResolveClaim, req, &messenger.Empty{})
 		cancel()
 		if err == nil || connector.CodeOf(err) == messenger.CodeBadRequest {
 			return err
@@ -212,19 +212,19 @@
 	}
 }
 
-// copyForReplay returns the part of an answer that is kept for repeats of the key.
-func copyForReplay(a *messenger.KeptAnswer) *messenger.KeptAnswer {
+// copyForReplay returns the part of an answer that is stored for repeats of the key.
+func copyForReplay(a *messenger.StoredAnswer) *messenger.StoredAnswer {
 	if a == nil {
 		return nil
 	}
-	kept := *a
-	kept.Header = a.Header.Clone()
-	kept.Header.Del("X-Request-Id") // belongs to the first request; a repeat has its own
-	kept.Whole = len(a.Body) <= MaxKeptBodyBytes
-	if !kept.Whole {
-		kept.Body = nil
+	stored := *a
+	stored.Header = a.Header.Clone()
+	stored.Header.Del("X-Request-Id") // belongs to the first request; a repeat has its own
+	stored.Complete = len(a.Body) <= MaxStoredBodyBytes
+	if !stored.Complete {
+		stored.Body = nil
 	}
-	return &kept
+	return &stored
 }
 
 // sleep waits for d and reports whether ctx is still active.
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -21,7 +21,7 @@
 	mu       sync.Mutex
 	errs     []error
 	claims   []messenger.ClaimRequest
-	resolved []messenger.SettleRequest
+	resolved []messenger.ResolveClaimRequest
 }
 
 func (o *fakeOwner) call(_ context.Context, _, _ string, params, result any) error {
@@ -31,7 +31,7 @@
 	case messenger.ClaimRequest:
 		o.claims = append(o.claims, p)
 		*result.(*messenger.ClaimReply) = messenger.ClaimReply{State: messenger.ClaimGranted}
-	case messenger.SettleRequest:
+	case messenger.ResolveClaimRequest:
 		o.resolved = append(o.resolved, p)
 	}
 	if len(o.errs) > 0 {
@@ -123,15 +123,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwner{errs: []error{errLost, errUnavailable, errUnavailable, errUnavailable, errUnavailable}}
 		claims := New(Config{CallCell: o.call})
-		body := []byte(strings.Repeat("x", MaxKeptBodyBytes+1))
-		claims.Resolve(Options{Key: "k", RequestID: "r1"}, messenger.OutcomeRun, &messenger.KeptAnswer{Status: 200, Body: body})
+		body := []byte(strings.Repeat("x", MaxStoredBodyBytes+1))
+		claims.Resolve(Options{Key: "k", RequestID: "r1"}, messenger.OutcomeRun, &messenger.StoredAnswer{Status: 200, Body: body})
 		if err := claims.Drain(context.Background()); err != nil {
 			t.Error(err)
 		}
 		if len(o.resolved) != 6 {
 			t.Errorf("outcome reported %d times", len(o.resolved))
 		}
-		want := &messenger.KeptAnswer{Status: 200} // the body is too large to be kept, so the answer is not whole
+		want := &messenger.StoredAnswer{Status: 200} // the body is too large to be stored, so the answer is incomplete
 		if diff := cmp.Diff(want, o.resolved[5].Answer); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/request/receiver/fixture_test.go
+++ b/internal/request/receiver/fixture_test.go
@@ -58,7 +58,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{t: t, claims: &fakeClaims{held: make(map[string]messenger.ClaimRequest), resolved: make(map[string]messenger.SettleRequest)}}
+	f := &fixture{t: t, claims: &fakeClaims{held: make(map[string]messenger.ClaimRequest), resolved: make(map[string]messenger.ResolveClaimRequest)}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 	mu       sync.Mutex
 	down     bool
 	held     map[string]messenger.ClaimRequest
-	resolved map[string]messenger.SettleRequest
+	resolved map[string]messenger.ResolveClaimRequest
 }
 
 func (f *fakeClaims) call(_ context.Context, _, method string, params, result any) error {
@@ -185,8 +185,8 @@
 	if f.down {
 		return connector.Errorf(messenger.CodeUnavailable, "the store is down")
 	}
-	if method == messenger.MethodSettle {
-		s := params.(messenger.SettleRequest)
+	if method == messenger.MethodResolveClaim {
+		s := params.(messenger.ResolveClaimRequest)
 		if s.Outcome == messenger.OutcomeNotRun {
 			delete(f.held, s.Key)
 		} else {
@@ -205,7 +205,7 @@
 	case held.Digest != c.Digest:
 		r.State = messenger.ClaimMismatch
 	case done && resolved.Outcome == messenger.OutcomeRun:
-		r = messenger.ClaimReply{State: messenger.ClaimSettled, Answer: resolved.Answer}
+		r = messenger.ClaimReply{State: messenger.ClaimResolved, Answer: resolved.Answer}
 	case held.RequestID == c.RequestID:
 		r.State = messenger.ClaimGranted
 	default:
--- a/internal/request/receiver/meter.go
+++ b/internal/request/receiver/meter.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	switch reply.Reason {
-	case messenger.ReasonFull, messenger.ReasonLeaving, messenger.ReasonGone:
+	case messenger.ReasonFull, messenger.ReasonLeaving, messenger.ReasonUnknownUpstream:
 		return true
 	}
 	return false
--- a/internal/request/receiver/serve.go
+++ b/internal/request/receiver/serve.go
@@ -88,7 +88,7 @@
 	}
 	switch reply.State {
 	case messenger.ClaimGranted:
-	case messenger.ClaimSettled:
+	case messenger.ClaimResolved:
 		return replay(reply.Answer)
 	case messenger.ClaimMismatch:
 		return newRefusal(http.StatusUnprocessableEntity, "the key was used for another request")
@@ -112,11 +112,11 @@
 // the claim is released. Everything else continues in the background.
 func (r *Receiver) resolveClaim(ctx context.Context, c *call, options claimer.Options, a *answer) {
 	if a.outcome != messenger.OutcomeNotRun {
-		kept := &messenger.KeptAnswer{Status: a.status, Header: messenger.PackHeader(a.header), Body: a.body}
+		stored := &messenger.StoredAnswer{Status: a.status, Header: messenger.PackHeader(a.header), Body: a.body}
 		if a.outcome != messenger.OutcomeRun {
-			kept = nil
+			stored = nil
 		}
-		r.claimer.Resolve(options, a.outcome, kept)
+		r.claimer.Resolve(options, a.outcome, stored)
 		return
 	}
 	timer := time.NewTimer(min(claimReleaseWait, time.Until(c.deadline)))
@@ -129,14 +129,14 @@
 }
 
 // replay returns the answer to a repeat of a request that ran.
-func replay(kept *messenger.KeptAnswer) *answer {
-	if kept == nil || !kept.Whole {
-		// The request ran, and its answer was too large to be kept. An incomplete answer
+func replay(stored *messenger.StoredAnswer) *answer {
+	if stored == nil || !stored.Complete {
+		// The request ran, and its answer was too large to be stored. An incomplete answer
 		// must never be returned as if it were complete.
 		return &answer{
 			status: http.StatusConflict, outcome: messenger.OutcomeRun, replayed: true,
 			reason: "the request with this key ran; its answer was not kept",
 		}
 	}
-	return &answer{status: kept.Status, outcome: messenger.OutcomeRun, header: messenger.UnpackHeader(kept.Header), body: kept.Body, replayed: true}
+	return &answer{status: stored.Status, outcome: messenger.OutcomeRun, header: messenger.UnpackHeader(stored.Header), body: stored.Body, replayed: true}
 }
--- a/internal/wire/connector/fuzz_test.go
+++ b/internal/wire/connector/fuzz_test.go
@@ -51,7 +51,7 @@
 	decoder[messenger.Announce], decoder[messenger.AnnounceReply], decoder[messenger.Heartbeat],
 	decoder[messenger.PeersRequest], decoder[messenger.FleetRequest], decoder[messenger.FleetReply],
 	decoder[messenger.RunRequest], decoder[messenger.RunReply], decoder[messenger.ClaimRequest],
-	decoder[messenger.ClaimReply], decoder[messenger.SettleRequest], decoder[messenger.Poll],
+	decoder[messenger.ClaimReply], decoder[messenger.ResolveClaimRequest], decoder[messenger.Poll],
 	decoder[messenger.PollReply], decoder[messenger.SubmitRequest], decoder[messenger.SubmitReply],
 	decoder[messenger.CancelRequest], decoder[messenger.CancelReply], decoder[messenger.FindTasksOptions],
 	decoder[messenger.FindTasksReply], decoder[messenger.Status], decoder[messenger.ExplainRequest],
--- a/internal/wire/messenger/cell.go
+++ b/internal/wire/messenger/cell.go
@@ -62,7 +62,7 @@
 	Percent    int                 `json:"percent,omitempty"`    // with throttle: 1 to 100
 	// Time after which a start is refused, counted from when the agent sent the
 	// poll that this order answers.
-	VoidAfterMillis int64 `json:"void-after-ms,omitempty"`
+	ExpiresAfterMillis int64 `json:"void-after-ms,omitempty"`
 }
 
 // ReportState is the state of an attempt as reported by its agent.
@@ -160,11 +160,11 @@
 
 // SubmitReply contains the result of each task, in the order of the request.
 type SubmitReply struct {
-	Verdicts []SubmitVerdict `json:"verdicts"`
+	Results []SubmitResult `json:"verdicts"`
 }
 
-// SubmitVerdict is the result of submitting a task; an accepted task is journalled.
-type SubmitVerdict struct {
+// SubmitResult is the result of submitting a task; an accepted task is journalled.
+type SubmitResult struct {
 	ID       string    `json:"id"`
 	Accepted bool      `json:"accepted"`
 	State    TaskState `json:"state,omitempty"`
--- a/internal/wire/messenger/messenger.go
+++ b/internal/wire/messenger/messenger.go
@@ -13,20 +13,20 @@
 
 // Names of the methods. The first part names the process that answers.
 const (
-	MethodAnnounce  = "entry/announce"  // agent to entry: Announce, AnnounceReply
-	MethodHeartbeat = "entry/heartbeat" // agent to entry: Heartbeat, AnnounceReply
-	MethodFleet     = "entry/fleet"     // agent or entry to entry: FleetRequest, FleetReply
-	MethodPeers     = "entry/peers"     // entry to entry: PeersRequest, AnnounceReply
-	MethodRun       = "agent/run"       // entry to agent: RunRequest, RunReply
-	MethodPoll      = "cell/poll"       // agent to the cell's owner: Poll, PollReply
-	MethodSubmit    = "cell/submit"     // entry to owner: SubmitRequest, SubmitReply
-	MethodCancel    = "cell/cancel"     // entry to owner: CancelRequest, CancelReply
-	MethodClaim     = "cell/claim"      // entry to owner: ClaimRequest, ClaimReply
-	MethodSettle    = "cell/settle"     // entry to owner: SettleRequest, Empty
-	MethodFindTasks = "cell/find-tasks" // entry to owner: FindTasksOptions, FindTasksReply
-	MethodStatus    = "cell/status"     // entry to owner: StatusRequest, Status
-	MethodExplain   = "cell/explain"    // entry to owner: ExplainRequest, ExplainReply
-	MethodEvents    = "cell/events"     // entry to owner: EventsRequest, EventsReply
+	MethodAnnounce     = "entry/announce"  // agent to entry: Announce, AnnounceReply
+	MethodHeartbeat    = "entry/heartbeat" // agent to entry: Heartbeat, AnnounceReply
+	MethodFleet        = "entry/fleet"     // agent or entry to entry: FleetRequest, FleetReply
+	MethodPeers        = "entry/peers"     // entry to entry: PeersRequest, AnnounceReply
+	MethodRun          = "agent/run"       // entry to agent: RunRequest, RunReply
+	MethodPoll         = "cell/poll"       // agent to the cell's owner: Poll, PollReply
+	MethodSubmit       = "cell/submit"     // entry to owner: SubmitRequest, SubmitReply
+	MethodCancel       = "cell/cancel"     // entry to owner: CancelRequest, CancelReply
+	MethodClaim        = "cell/claim"      // entry to owner: ClaimRequest, ClaimReply
+	MethodResolveClaim = "cell/settle"     // entry to owner: ResolveClaimRequest, Empty
+	MethodFindTasks    = "cell/find-tasks" // entry to owner: FindTasksOptions, FindTasksReply
+	MethodStatus       = "cell/status"     // entry to owner: StatusRequest, Status
+	MethodExplain      = "cell/explain"    // entry to owner: ExplainRequest, ExplainReply
+	MethodEvents       = "cell/events"     // entry to owner: EventsRequest, EventsReply
 )
 
 // Codes of JSON-RPC errors that callers act on.
@@ -138,9 +138,9 @@
 // Reasons of a RunReply with OutcomeNotRun that an entry acts on; any other reason
 // is only informational.
 const (
-	ReasonFull    = "all slots of the upstream are taken"
-	ReasonLeaving = "the upstream is leaving"
-	ReasonGone    = "the upstream is not known to the agent"
+	ReasonFull            = "all slots of the upstream are taken"
+	ReasonLeaving         = "the upstream is leaving"
+	ReasonUnknownUpstream = "the upstream is not known to the agent"
 )
 
 // RunRequest is one attempt to run a caller's request at an upstream.
@@ -189,34 +189,34 @@
 const (
 	ClaimGranted  ClaimState = "granted"  // the claiming request may run
 	ClaimHeld     ClaimState = "held"     // another request with the key is running, or its outcome is unknown, as after a crash
-	ClaimSettled  ClaimState = "settled"  // the request ran; the answer is attached if it was small enough
+	ClaimResolved ClaimState = "settled"  // the request ran; the answer is attached if it was small enough
 	ClaimMismatch ClaimState = "mismatch" // the key was used for a different request
 )
 
 // ClaimReply answers a ClaimRequest.
 type ClaimReply struct {
-	State  ClaimState  `json:"state"`
-	Answer *KeptAnswer `json:"answer,omitempty"`
+	State  ClaimState    `json:"state"`
+	Answer *StoredAnswer `json:"answer,omitempty"`
 }
 
-// KeptAnswer is the answer to a keyed request, kept for repeats.
-type KeptAnswer struct {
-	Status int         `json:"status"`
-	Header http.Header `json:"header,omitempty"`
-	Body   []byte      `json:"body,omitempty"`
-	Whole  bool        `json:"whole"` // false: the body was too large to keep
+// StoredAnswer is the answer to a keyed request, stored for repeats.
+type StoredAnswer struct {
+	Status   int         `json:"status"`
+	Header   http.Header `json:"header,omitempty"`
+	Body     []byte      `json:"body,omitempty"`
+	Complete bool        `json:"whole"` // false: the body was too large to store
 }
 
-// SettleRequest reports the outcome of a claimed request to the owner. OutcomeNotRun
-// releases the claim, OutcomeRun keeps the answer, OutcomeUnknown leaves the claim
+// ResolveClaimRequest reports the outcome of a claimed request to the owner. OutcomeNotRun
+// releases the claim, OutcomeRun stores the answer, OutcomeUnknown leaves the claim
 // held permanently.
-type SettleRequest struct {
-	Cell      string      `json:"cell"`
-	Tenant    string      `json:"tenant"`
-	Key       string      `json:"key"`
-	RequestID string      `json:"request-id"`
-	Outcome   Outcome     `json:"outcome"`
-	Answer    *KeptAnswer `json:"answer,omitempty"`
+type ResolveClaimRequest struct {
+	Cell      string        `json:"cell"`
+	Tenant    string        `json:"tenant"`
+	Key       string        `json:"key"`
+	RequestID string        `json:"request-id"`
+	Outcome   Outcome       `json:"outcome"`
+	Answer    *StoredAnswer `json:"answer,omitempty"`
 }
 
 // Millis returns d in whole milliseconds, rounded up, so that a short positive
--- a/tests/capacity/slopes_test.go
+++ b/tests/capacity/slopes_test.go
@@ -34,7 +34,7 @@
 		}
 		harness.WaitFor(b, 30*time.Second, "tasks accepted", func(ctx context.Context) error {
 			reply, err := operator.Submit(ctx, specs)
-			for _, v := range reply.Verdicts { // at first the owner may not have the fleet text
+			for _, v := range reply.Results { // at first the owner may not have the fleet text
 				if !v.Accepted {
 					return fmt.Errorf("task %s: %s", v.ID, v.Reason)
 				}
--- a/tests/integration/control_testbed_test.go
+++ b/tests/integration/control_testbed_test.go
@@ -124,7 +124,7 @@
 			continue
 		}
 		r.mu.Lock()
-		for _, v := range reply.Verdicts {
+		for _, v := range reply.Results {
 			if !v.Accepted {
 				r.t.Errorf("%s refused: %s", v.ID, v.Reason)
 			}
--- a/tests/integration/fleet_zone_test.go
+++ b/tests/integration/fleet_zone_test.go
@@ -225,8 +225,8 @@
 	}
 	harness.WaitFor(t, 20*time.Second, "tasks submitted", func(ctx context.Context) error {
 		r, err := k.Operator().Submit(ctx, specs)
-		if err == nil && !r.Verdicts[0].Accepted {
-			return errors.New(r.Verdicts[0].Reason) // the owner has an older fleet text
+		if err == nil && !r.Results[0].Accepted {
+			return errors.New(r.Results[0].Reason) // the owner has an older fleet text
 		}
 		return err
 	})
--- a/tests/measure/fleet_test.go
+++ b/tests/measure/fleet_test.go
@@ -184,8 +184,8 @@
 	}
 	harness.WaitFor(b, 20*time.Second, "tasks submitted", func(ctx context.Context) error {
 		r, err := k.Operator().Submit(ctx, specs)
-		if err == nil && !r.Verdicts[0].Accepted {
-			err = fmt.Errorf("refused: %s", r.Verdicts[0].Reason)
+		if err == nil && !r.Results[0].Accepted {
+			err = fmt.Errorf("refused: %s", r.Results[0].Reason)
 		}
 		return err
 	})
