--- a/internal/agent/announcer/announcer.go
+++ b/internal/agent/announcer/announcer.go
@@ -44,7 +44,7 @@
 	Entries                 []string // RPC addresses of some entries; the others are learned from them
 	Gatekeeper              *gatekeeper.Gatekeeper
 	Reporter                *reporter.Reporter
-	Interval                time.Duration // between heartbeats; default 1 s
+	HeartbeatInterval       time.Duration // between heartbeats; default 1 s
 	FleetVersion            func() int64
 	// OnFleetVersion, if set, is called when an entry has a higher version.
 	OnFleetVersion func(version int64, fetch func(ctx context.Context) (messenger.FleetReply, error))
@@ -70,8 +70,8 @@
 
 // New returns an Announcer and registers it for the changes of the Gatekeeper.
 func New(c Config) *Announcer {
-	if c.Interval <= 0 {
-		c.Interval = defaultInterval
+	if c.HeartbeatInterval <= 0 {
+		c.HeartbeatInterval = defaultInterval
 	}
 	if c.Reporter == nil {
 		c.Reporter = reporter.Discard()
--- a/internal/agent/announcer/announcer_test.go
+++ b/internal/agent/announcer/announcer_test.go
@@ -100,7 +100,7 @@
 	if err := g.Renew(gatekeeper.Announcement{ID: "u1", Service: "s", Address: "127.0.0.1:1"}); err != nil {
 		t.Fatal(err)
 	}
-	a := New(Config{AgentID: "a1", Incarnation: 1, Entries: entries, Gatekeeper: g, Interval: interval})
+	a := New(Config{AgentID: "a1", Incarnation: 1, Entries: entries, Gatekeeper: g, HeartbeatInterval: interval})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- a.Run(ctx) }()
@@ -252,7 +252,7 @@
 // mark: the entry would send the agent nothing until that connection is closed.
 func TestReplacementMarkEndsWithTheConnection(t *testing.T) {
 	e := startEntry(t, "e1")
-	a := New(Config{AgentID: "a1", Incarnation: 1, Gatekeeper: gatekeeper.New(gatekeeper.Config{}), Interval: 10 * time.Millisecond})
+	a := New(Config{AgentID: "a1", Incarnation: 1, Gatekeeper: gatekeeper.New(gatekeeper.Config{}), HeartbeatInterval: 10 * time.Millisecond})
 	s := a.newSession(e.address, true)
 	s.markReplaced()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/agent/announcer/session.go
+++ b/internal/agent/announcer/session.go
@@ -171,7 +171,7 @@
 	if err := s.announce(ctx, conn); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(s.announcer.config.Interval)
+	ticker := time.NewTicker(s.announcer.config.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/agent/gatekeeper/meter.go
+++ b/internal/agent/gatekeeper/meter.go
@@ -26,9 +26,9 @@
 	m.samples[m.requests%maxSamples] = elapsed
 }
 
-// TakeServiceLoad returns the load measured since the previous call and starts a
+// CollectServiceLoad returns the load measured since the previous call and starts a
 // new window.
-func (g *Gatekeeper) TakeServiceLoad() []messenger.ServiceLoad {
+func (g *Gatekeeper) CollectServiceLoad() []messenger.ServiceLoad {
 	g.mu.Lock()
 	meters := g.meters
 	g.meters = make(map[string]*loadMeter)
--- a/internal/cli/commander/agent.go
+++ b/internal/cli/commander/agent.go
@@ -19,7 +19,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var findings loader.Findings
-			c.ID, c.StopLimit = p.id, p.stopLimit
+			c.ID, c.StopTimeout = p.id, p.stopTimeout
 			out := spooler.New(cmd.OutOrStdout())
 			defer out.Close()
 			c.Reporter = p.newReporter(out, "agent", &findings)
--- a/internal/cli/commander/commander.go
+++ b/internal/cli/commander/commander.go
@@ -61,7 +61,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(cmd *cobra.Command, _ []string) error {
-			if err := loader.Fill(cmd.Flags()); err != nil {
+			if err := loader.SetFromEnvironment(cmd.Flags()); err != nil {
 				return ExitError{Code: ExitUsage, Err: err}
 			}
 			return nil
--- a/internal/cli/commander/process.go
+++ b/internal/cli/commander/process.go
@@ -14,14 +14,14 @@
 	"bamboospread/internal/kernel/reporter"
 )
 
-const defaultStopLimit = 30 * time.Second
+const defaultStopTimeout = 30 * time.Second
 
 // processFlags are the settings that all roles share.
 type processFlags struct {
-	id        string
-	logFormat string
-	logLevel  string
-	stopLimit time.Duration
+	id          string
+	logFormat   string
+	logLevel    string
+	stopTimeout time.Duration
 }
 
 func (p *processFlags) register(cmd *cobra.Command) {
@@ -33,7 +33,7 @@
 	f.StringVar(&p.id, "id", host, "unique name of this process")
 	f.StringVar(&p.logFormat, "log-format", "text", "text or json")
 	f.StringVar(&p.logLevel, "log-level", "info", "debug, info, warn or error")
-	f.DurationVar(&p.stopLimit, "stop-limit", defaultStopLimit, "time limit of a graceful stop")
+	f.DurationVar(&p.stopTimeout, "stop-limit", defaultStopTimeout, "time limit of a graceful stop")
 }
 
 // newReporter adds a finding for each bad log setting.
@@ -41,8 +41,8 @@
 	if p.id == "" || strings.ContainsAny(p.id, "/ \t\n") {
 		findings.Add("id", "%q is not a valid name: it must not be empty or contain spaces, tabs, line breaks or slashes", p.id)
 	}
-	if p.stopLimit <= 0 {
-		findings.Add("stop-limit", "%s is not above 0", p.stopLimit)
+	if p.stopTimeout <= 0 {
+		findings.Add("stop-limit", "%s is not above 0", p.stopTimeout)
 	}
 	r, err := reporter.New(reporter.Config{Writer: w, Format: p.logFormat, Level: p.logLevel, Role: role, Name: p.id})
 	if err != nil {
--- a/internal/demo/demonstrator/demonstrator.go
+++ b/internal/demo/demonstrator/demonstrator.go
@@ -41,7 +41,7 @@
 	// zoneOutGrace is the guaranteed limit after which no start happens in a zone
 	// that an accepted change has taken out.
 	zoneOutGrace   = 3 * time.Second
-	stopLimit      = 10 * time.Second
+	stopTimeout    = 10 * time.Second
 	lastTasksLimit = 15 * time.Second // for the last tasks to end, after the load
 )
 
@@ -73,7 +73,7 @@
 // The error is nil unless the demo itself could not run.
 func (d *Demonstrator) Run(ctx context.Context) (Summary, error) {
 	d.startedAt = time.Now()
-	services := registrar.New(registrar.Config{Reporter: d.config.Reporter, StopLimit: stopLimit})
+	services := registrar.New(registrar.Config{Reporter: d.config.Reporter, StopTimeout: stopTimeout})
 	if err := d.assemble(services); err != nil {
 		return Summary{}, err
 	}
@@ -106,7 +106,7 @@
 		s, err := server.New(server.Config{
 			ID: fmt.Sprintf("entry-%d", i+1), Listen: "127.0.0.1:0", RPCListen: "127.0.0.1:0", Zone: zoneNames[i],
 			StoreURL: storeURL, Cell: "main", MayOwn: true, OwnerLease: 6 * time.Second, VMLease: 6 * time.Second,
-			StopLimit: stopLimit, Reporter: d.config.Reporter,
+			StopTimeout: stopTimeout, Reporter: d.config.Reporter,
 		})
 		if err != nil {
 			return err
@@ -164,7 +164,7 @@
 	}
 	a, err := agent.New(agent.Config{
 		ID: "agent-" + name, VM: name, Zone: zone, Rack: rack, Entries: rpc, WorkerURL: workerURL,
-		LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopLimit: stopLimit, Reporter: d.config.Reporter,
+		LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopTimeout: stopTimeout, Reporter: d.config.Reporter,
 	})
 	if err != nil {
 		return vm{}, err
--- a/internal/demo/demonstrator/job.go
+++ b/internal/demo/demonstrator/job.go
@@ -51,7 +51,7 @@
 		}
 		a, err := agent.New(agent.Config{
 			ID: "agent-" + name, VM: name, Zone: zoneNames[2*i], Rack: "rack-jobs", Entries: rpc, ExecutorURL: url,
-			LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopLimit: stopLimit, Reporter: d.config.Reporter,
+			LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopTimeout: stopTimeout, Reporter: d.config.Reporter,
 		})
 		if err != nil {
 			return err
--- a/internal/kernel/loader/loader.go
+++ b/internal/kernel/loader/loader.go
@@ -20,9 +20,9 @@
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Fill sets each flag that was not given from its environment variable. The error
+// SetFromEnvironment sets each flag that was not given from its environment variable. The error
 // contains all variables with invalid values.
-func Fill(flags *pflag.FlagSet) error {
+func SetFromEnvironment(flags *pflag.FlagSet) error {
 	var errs []error
 	flags.VisitAll(func(f *pflag.Flag) {
 		if f.Changed {
--- a/internal/kernel/registrar/registrar.go
+++ b/internal/kernel/registrar/registrar.go
@@ -29,16 +29,16 @@
 
 // Config holds the settings of a Registrar.
 type Config struct {
-	Reporter  *reporter.Reporter
-	StopLimit time.Duration // maximum duration of a graceful stop
+	Reporter    *reporter.Reporter
+	StopTimeout time.Duration // maximum duration of a graceful stop
 }
 
 // Registrar starts and stops the services of one process.
 type Registrar struct {
-	reporter  *reporter.Reporter
-	stopLimit time.Duration
-	services  []Service
-	values    map[string]any
+	reporter    *reporter.Reporter
+	stopTimeout time.Duration
+	services    []Service
+	values      map[string]any
 }
 
 // ErrServiceNotExist is returned by Lookup for a service that has not started.
@@ -50,10 +50,10 @@
 
 // New returns an empty Registrar.
 func New(c Config) *Registrar {
-	if c.StopLimit <= 0 {
-		c.StopLimit = 30 * time.Second
+	if c.StopTimeout <= 0 {
+		c.StopTimeout = 30 * time.Second
 	}
-	return &Registrar{reporter: c.Reporter, stopLimit: c.StopLimit, values: make(map[string]any)}
+	return &Registrar{reporter: c.Reporter, stopTimeout: c.StopTimeout, values: make(map[string]any)}
 }
 
 // Add registers a service; it starts when Run is called.
@@ -103,7 +103,7 @@
 	case <-ctx.Done():
 	case cause = <-failed:
 	}
-	r.reporter.Report(reporter.StopBegan, reporter.Fields{"limit": r.stopLimit.String()})
+	r.reporter.Report(reporter.StopBegan, reporter.Fields{"limit": r.stopTimeout.String()})
 	return errors.Join(cause, r.stop(started))
 }
 
@@ -137,9 +137,9 @@
 func (r *Registrar) stop(started []startedService) error {
 	// Draining gets three quarters of the time: a service that waits too long for work
 	// in flight must not prevent the others from stopping in order.
-	drainCtx, cancelDrain := context.WithTimeout(context.Background(), r.stopLimit*3/4)
+	drainCtx, cancelDrain := context.WithTimeout(context.Background(), r.stopTimeout*3/4)
 	defer cancelDrain()
-	ctx, cancel := context.WithTimeout(context.Background(), r.stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), r.stopTimeout)
 	defer cancel()
 	var errs []error
 	for i := len(started) - 1; i >= 0; i-- {
--- a/internal/kernel/registrar/registrar_test.go
+++ b/internal/kernel/registrar/registrar_test.go
@@ -15,7 +15,7 @@
 // through it, and all must drain before the first one is stopped.
 func TestServicesDrainInReverseOrder(t *testing.T) {
 	var log []string
-	r := New(Config{Reporter: reporter.Discard(), StopLimit: time.Second})
+	r := New(Config{Reporter: reporter.Discard(), StopTimeout: time.Second})
 	add := func(name string, needs ...string) {
 		r.Add(Service{
 			Name: name, Needs: needs,
--- a/internal/request/receiver/fixture_test.go
+++ b/internal/request/receiver/fixture_test.go
@@ -69,7 +69,7 @@
 	f.gate = gatekeeper.New(gatekeeper.Config{})
 	f.agent = announcer.New(announcer.Config{
 		AgentID: "a1", VM: "vm1", Incarnation: 1, Entries: []string{l.Addr().String()},
-		Gatekeeper: f.gate, Interval: 50 * time.Millisecond,
+		Gatekeeper: f.gate, HeartbeatInterval: 50 * time.Millisecond,
 	})
 	run(t, f.agent.Run)
 	f.receiver = New(Config{EntryID: "e1", Tracker: f.tracker, Fleet: testFleet, CallCell: f.claims.call, Cell: "main"})
--- a/internal/service/agent/agent.go
+++ b/internal/service/agent/agent.go
@@ -45,7 +45,7 @@
 	LocalListen string // address at which local upstreams announce themselves
 	Listen      string // /metrics, /healthz, /readyz
 	Cell        string
-	StopLimit   time.Duration
+	StopTimeout time.Duration
 	Reporter    *reporter.Reporter
 }
 
@@ -102,7 +102,7 @@
 		CallOwner: func(ctx context.Context, method string, params, result any) error {
 			return a.announcer.CallOwner(ctx, c.Cell, method, params, result)
 		},
-		Upstreams: a.gatekeeper.Upstreams, ServiceLoad: a.gatekeeper.TakeServiceLoad,
+		Upstreams: a.gatekeeper.Upstreams, ServiceLoad: a.gatekeeper.CollectServiceLoad,
 		ServiceNeeds: a.serviceNeeds, Reporter: c.Reporter,
 	})
 }
@@ -148,9 +148,9 @@
 	}
 }
 
-// Run runs the agent until ctx ends, then drains and stops within StopLimit.
+// Run runs the agent until ctx ends, then drains and stops within StopTimeout.
 func (a *Agent) Run(ctx context.Context) error {
-	r := registrar.New(registrar.Config{Reporter: a.config.Reporter, StopLimit: a.config.StopLimit})
+	r := registrar.New(registrar.Config{Reporter: a.config.Reporter, StopTimeout: a.config.StopTimeout})
 	r.Add(prebuiltService("local-listener", a.local, a.serveLocal, nil))
 	r.Add(prebuiltService("admin-listener", a.admin, a.serveAdmin, nil))
 	// Services drain in reverse order: the gatekeeper rejects new requests first.
--- a/internal/service/server/serve.go
+++ b/internal/service/server/serve.go
@@ -35,7 +35,7 @@
 		return fmt.Errorf("serve HTTP: %w", err)
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.StopLimit)
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.StopTimeout)
 	defer cancel()
 	err := server.Shutdown(stop)
 	if served := <-served; !errors.Is(served, http.ErrServerClosed) {
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -57,7 +57,7 @@
 	OwnerLease  time.Duration
 	VMLease     time.Duration
 	OutageLease time.Duration // 0: the value of the fleet text
-	StopLimit   time.Duration
+	StopTimeout time.Duration
 	Reporter    *reporter.Reporter
 }
 
@@ -189,9 +189,9 @@
 	return s.controller.Owner()
 }
 
-// Run serves until ctx ends, then drains and stops within StopLimit.
+// Run serves until ctx ends, then drains and stops within StopTimeout.
 func (s *Server) Run(ctx context.Context) error {
-	r := registrar.New(registrar.Config{Reporter: s.config.Reporter, StopLimit: s.config.StopLimit})
+	r := registrar.New(registrar.Config{Reporter: s.config.Reporter, StopTimeout: s.config.StopTimeout})
 	r.Add(prebuiltService(serviceFollower, s.follower, s.follower.Run, nil))
 	r.Add(prebuiltService(serviceEnroller, s.enroller, s.enroller.Run, nil, serviceFollower))
 	r.Add(prebuiltService(serviceTracker, s.tracker, s.tracker.Run, nil, serviceEnroller))
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// stopLimit bounds the wait for requests in flight when a stand-in stops.
-const stopLimit = 10 * time.Second
+// stopTimeout bounds the wait for requests in flight when a stand-in stops.
+const stopTimeout = 10 * time.Second
 
 // Serve serves on l until ctx ends, then waits for the requests in flight.
 func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: stopLimit}
+	s := &http.Server{Handler: handler, ReadHeaderTimeout: stopTimeout}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(l) }()
 	select {
@@ -25,7 +25,7 @@
 		return fmt.Errorf("serve on %s: %w", l.Addr(), err)
 	case <-ctx.Done():
 	}
-	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	err := s.Shutdown(stopCtx)
 	if served := <-ended; !errors.Is(served, http.ErrServerClosed) {
--- a/tests/integration/request_stop_test.go
+++ b/tests/integration/request_stop_test.go
@@ -14,7 +14,7 @@
 	"bamboospread/tests/proxy"
 )
 
-const stopLimit = 15 * time.Second
+const stopTimeout = 15 * time.Second
 
 // rollingRestart stops and restarts each entry, the given number of agents and the
 // upstream of every second agent, one after the other, as an operator does.
@@ -22,7 +22,7 @@
 	b.t.Helper()
 	stop := func(p *harness.Process) {
 		began := time.Now()
-		if err := p.Terminate(stopLimit); err != nil {
+		if err := p.Terminate(stopTimeout); err != nil {
 			b.t.Fatalf("stop %s: %v", p.Name, err)
 		}
 		b.t.Logf("%s stopped in %s", p.Name, time.Since(began).Round(time.Millisecond))
--- a/tests/measure/allocations_test.go
+++ b/tests/measure/allocations_test.go
@@ -29,14 +29,14 @@
 	b.Cleanup(store.Close)
 	e, err := server.New(server.Config{
 		ID: "entry", Listen: "127.0.0.1:0", RPCListen: "127.0.0.1:0", Zone: "zone-a", StoreURL: store.URL,
-		Cell: "main", Reporter: reporter.Discard(), StopLimit: time.Second,
+		Cell: "main", Reporter: reporter.Discard(), StopTimeout: time.Second,
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
 	a, err := agent.New(agent.Config{
 		ID: "agent", VM: "vm", Zone: "zone-a", Rack: "rack", Entries: []string{e.RPCAddress()}, WorkerURL: "http://127.0.0.1:1",
-		LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", Reporter: reporter.Discard(), StopLimit: time.Second,
+		LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", Reporter: reporter.Discard(), StopTimeout: time.Second,
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/tests/measure/fleet_test.go
+++ b/tests/measure/fleet_test.go
@@ -66,7 +66,7 @@
 	for i := range 3 {
 		e, err := server.New(server.Config{
 			ID: fmt.Sprintf("entry-%d", i), Listen: "127.0.0.1:0", RPCListen: "127.0.0.1:0", Zone: "zone-a", StoreURL: store.URL,
-			Peers: rpc, Cell: "main", Reporter: reporter.Discard(), StopLimit: time.Second,
+			Peers: rpc, Cell: "main", Reporter: reporter.Discard(), StopTimeout: time.Second,
 		})
 		if err != nil {
 			b.Fatal(err)
