--- a/internal/agent/gatekeeper/handler.go
+++ b/internal/agent/gatekeeper/handler.go
@@ -141,7 +141,7 @@
 		if u.load() == 0 && now.Sub(u.renewed) > removeAfterExpiries*g.config.Expiry {
 			u.pool.close()
 			delete(g.upstreams, id)
-			g.config.Reporter.Report(reporter.UpstreamGone, reporter.Fields{"upstream": id})
+			g.config.Reporter.Report(reporter.UpstreamRemoved, reporter.Fields{"upstream": id})
 		}
 	}
 	for id, leftAt := range g.leftAt {
--- a/internal/agent/runner/runner.go
+++ b/internal/agent/runner/runner.go
@@ -110,7 +110,7 @@
 		// A poll without the full list would make the owner treat the missing
 		// attempts as ended and run them elsewhere while they are running here.
 		if !r.workerUnreachable {
-			r.config.Reporter.Report(reporter.RunnerWorkerAway, reporter.Fields{"error": err.Error()})
+			r.config.Reporter.Report(reporter.RunnerWorkerNotResponding, reporter.Fields{"error": err.Error()})
 		}
 		r.workerUnreachable = true
 		return err
--- a/internal/cli/commander/standin.go
+++ b/internal/cli/commander/standin.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return ExitError{Code: ExitFailed, Err: fmt.Errorf("listen on %s: %w", o.listen, err)}
 	}
-	report.Report(reporter.StandinListens, reporter.Fields{"address": l.Addr().String()})
+	report.Report(reporter.StandinListening, reporter.Fields{"address": l.Addr().String()})
 	if err := run(cmd.Context(), l); err != nil && !errors.Is(err, context.Canceled) {
 		return ExitError{Code: ExitFailed, Err: err}
 	}
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -71,7 +71,7 @@
 	case r.State == messenger.ReportRunning:
 		if !s.unassigned[at] {
 			s.unassigned[at] = true
-			o.config.Reporter.Report(reporter.StrayStopped, reporter.Fields{"cell": o.config.Cell, "task": at.TaskID, "vm": vm, "attempt": at.Attempt})
+			o.config.Reporter.Report(reporter.UnassignedAttemptStopped, reporter.Fields{"cell": o.config.Cell, "task": at.TaskID, "vm": vm, "attempt": at.Attempt})
 		}
 	case r.State == messenger.ReportCompleted && t != nil && !t.Final() && t.Stop != bookkeeper.StopCompleted &&
 		at.Attempt <= t.Attempt && t.Spec.Service == "":
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -238,7 +238,7 @@
 	}
 	if !leasesPending && !o.reconciled {
 		o.reconciled = true
-		o.decide(bookkeeper.Record{EarlierLeasesExpired: &bookkeeper.EarlierLeasesExpired{}}, reporter.LeasesSettled,
+		o.decide(bookkeeper.Record{EarlierLeasesExpired: &bookkeeper.EarlierLeasesExpired{}}, reporter.EarlierLeasesEnded,
 			messenger.Decision{Reason: "every VM has contacted this owner or its lease has expired"}, nil)
 	}
 }
@@ -254,7 +254,7 @@
 		o.endAttempt(t, attemptEnd{state: messenger.ReportLost, reason: "lease of the VM expired", unreported: true}, nil)
 	}
 	if len(tasks) == 0 && now.Sub(s.lastPoll) > forgetVMAfter && now.Sub(o.takeoverAt) > forgetVMAfter {
-		o.decide(bookkeeper.Record{VMRemoved: &bookkeeper.VMRemoved{VM: name}}, reporter.VMGone,
+		o.decide(bookkeeper.Record{VMRemoved: &bookkeeper.VMRemoved{VM: name}}, reporter.VMRemoved,
 			messenger.Decision{VM: name, Reason: fmt.Sprintf("no contact for more than %s", forgetVMAfter)}, nil)
 		delete(o.sessions, name)
 	}
--- a/internal/fleet/changer/changer.go
+++ b/internal/fleet/changer/changer.go
@@ -186,7 +186,7 @@
 	case errors.As(err, &conflict):
 		return false, conflict.Current, nil
 	case keeper.IsErrOutcomeUnknown(err):
-		c.config.Reporter.Report(reporter.FleetChangeUnknown, reporter.Fields{"version": next.Version, "change-id": next.ChangeID, "error": err.Error()})
+		c.config.Reporter.Report(reporter.FleetChangeOutcomeUnknown, reporter.Fields{"version": next.Version, "change-id": next.ChangeID, "error": err.Error()})
 		return false, keeper.Record{}, ErrOutcomeUnknown{ChangeID: next.ChangeID, Cause: err}
 	}
 	return false, keeper.Record{}, ErrUnavailable{Cause: err}
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -141,7 +141,7 @@
 	}
 	if current := f.Version(); record.Version <= current {
 		if source == fromStore && record.Version < current {
-			f.config.Reporter.Report(reporter.FleetWentBack, reporter.Fields{"held": current, "stored": record.Version})
+			f.config.Reporter.Report(reporter.FleetVersionDecreased, reporter.Fields{"held": current, "stored": record.Version})
 		}
 		return nil
 	}
@@ -151,7 +151,7 @@
 		fleet: fleet, record: record,
 		reply: messenger.FleetReply{Version: record.Version, Record: value},
 	})
-	f.config.Reporter.Report(reporter.FleetVersionTaken, reporter.Fields{"version": record.Version, "change-id": record.ChangeID, "source": source})
+	f.config.Reporter.Report(reporter.FleetVersionApplied, reporter.Fields{"version": record.Version, "change-id": record.ChangeID, "source": source})
 	if f.config.Changed != nil {
 		f.config.Changed(fleet)
 	}
--- a/internal/fleet/follower/loop.go
+++ b/internal/fleet/follower/loop.go
@@ -58,10 +58,10 @@
 
 func (f *Follower) reportStoreState(err error) {
 	if err == nil {
-		f.config.Reporter.Report(reporter.FleetStoreBack, reporter.Fields{"version": f.Version()})
+		f.config.Reporter.Report(reporter.FleetStoreReachable, reporter.Fields{"version": f.Version()})
 		return
 	}
-	f.config.Reporter.Report(reporter.FleetStoreAway, reporter.Fields{"version": f.Version(), "error": err.Error()})
+	f.config.Reporter.Report(reporter.FleetStoreUnreachable, reporter.Fields{"version": f.Version(), "error": err.Error()})
 }
 
 func (f *Follower) runPeerLoop(ctx context.Context) error {
--- a/internal/job/follower/follower.go
+++ b/internal/job/follower/follower.go
@@ -171,16 +171,16 @@
 	}
 	p.ReadAt = sentAt
 	f.policy.Store(p)
-	f.config.Reporter.Report(reporter.PolicyTaken, reporter.Fields{"version": p.Version, "queues": len(p.Queues), "zones-out": len(p.ZonesOut)})
+	f.config.Reporter.Report(reporter.PolicyApplied, reporter.Fields{"version": p.Version, "queues": len(p.Queues), "zones-out": len(p.ZonesOut)})
 }
 
 // reportReachability logs when the store is lost and when it is reachable again.
 func (f *Follower) reportReachability(err error) {
 	switch {
 	case err != nil && !f.lost:
-		f.config.Reporter.Report(reporter.StoreLost, reporter.Fields{"error": err.Error(), "reader": "policy"})
+		f.config.Reporter.Report(reporter.StoreUnreachable, reporter.Fields{"error": err.Error(), "reader": "policy"})
 	case err == nil && f.lost:
-		f.config.Reporter.Report(reporter.StoreRegained, reporter.Fields{"reader": "policy"})
+		f.config.Reporter.Report(reporter.StoreReachable, reporter.Fields{"reader": "policy"})
 	}
 	f.lost = err != nil
 }
--- a/internal/job/forwarder/forwarder.go
+++ b/internal/job/forwarder/forwarder.go
@@ -156,7 +156,7 @@
 	case err != nil && !f.lost:
 		f.config.Reporter.Report(reporter.OwnerUnreachable, reporter.Fields{"error": err.Error()})
 	case err == nil && f.lost:
-		f.config.Reporter.Report(reporter.OwnerReached, reporter.Fields{"address": f.connAddress})
+		f.config.Reporter.Report(reporter.OwnerReachable, reporter.Fields{"address": f.connAddress})
 	}
 	f.lost = err != nil
 }
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -91,7 +91,7 @@
 	case Accepted:
 		r.config.Reporter.Report(reporter.JobAccepted, reporter.Fields{"job": j.ID, "queue": j.Queue, "steps": len(j.Steps), "store-age": r.config.StoreAge().String()})
 	case Unsettled:
-		r.config.Reporter.Report(reporter.JobUnsettled, reporter.Fields{"job": j.ID, "reason": res.Reason})
+		r.config.Reporter.Report(reporter.JobOutcomeUnknown, reporter.Fields{"job": j.ID, "reason": res.Reason})
 	case Refused, NotExist:
 		return r.refuse(j.ID, res)
 	}
@@ -223,7 +223,7 @@
 	}
 	res, storeErr := r.storedState(ctx, id)
 	if storeErr != nil {
-		r.config.Reporter.Report(reporter.JobAnswerFailed, reporter.Fields{"job": id, "owner-error": fmt.Sprint(err), "store-error": storeErr.Error()})
+		r.config.Reporter.Report(reporter.JobQueryFailed, reporter.Fields{"job": id, "owner-error": fmt.Sprint(err), "store-error": storeErr.Error()})
 		return Result{Outcome: Refused, Reason: "state not known now", RetryAfter: minRetryAfter}
 	}
 	return res
@@ -276,7 +276,7 @@
 	case Accepted:
 		r.config.Reporter.Report(reporter.JobCancelAccepted, reporter.Fields{"job": id})
 	case Refused, Unsettled, NotExist:
-		r.config.Reporter.Report(reporter.JobAnswerFailed, reporter.Fields{"job": id, "store-error": res.Reason})
+		r.config.Reporter.Report(reporter.JobQueryFailed, reporter.Fields{"job": id, "store-error": res.Reason})
 		res.RetryAfter = max(res.RetryAfter, minRetryAfter)
 	}
 	return res
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -81,5 +81,5 @@
 	if e.err != nil {
 		fields["error"] = e.err.Error()
 	}
-	o.s.config.Reporter.Report(reporter.AdviceTaken, fields)
+	o.s.config.Reporter.Report(reporter.AdviceReceived, fields)
 }
--- a/internal/job/scheduler/follow.go
+++ b/internal/job/scheduler/follow.go
@@ -55,7 +55,7 @@
 func (o *owner) cancel(id string, e recordSeen, now time.Time) {
 	runs, open := o.state.Cancel(id, now)
 	if open {
-		o.s.config.Reporter.Report(reporter.JobCancelSeen, reporter.Fields{"job": id, "by": e.source, "revision": e.record.Revision, "runs": runs})
+		o.s.config.Reporter.Report(reporter.JobCancelReceived, reporter.Fields{"job": id, "by": e.source, "revision": e.record.Revision, "runs": runs})
 	}
 }
 
@@ -92,7 +92,7 @@
 func (o *owner) relist(ctx context.Context, after int64) int64 {
 	all, revision, err := o.s.findAll(ctx, WorkPrefix)
 	if err != nil {
-		o.s.config.Reporter.Report(reporter.StoreLost, reporter.Fields{"error": fmt.Sprint(err), "reader": "jobs"})
+		o.s.config.Reporter.Report(reporter.StoreUnreachable, reporter.Fields{"error": fmt.Sprint(err), "reader": "jobs"})
 		_ = pauser.Pause(ctx, watchRetryDelay)
 		return after
 	}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -269,7 +269,7 @@
 		return
 	}
 	o.reconciled = true
-	o.s.config.Reporter.Report(reporter.CellSettled, reporter.Fields{"epoch": o.epoch, "unheard": len(o.unreported), "after": now.Sub(o.started).String()})
+	o.s.config.Reporter.Report(reporter.CellReconciled, reporter.Fields{"epoch": o.epoch, "unheard": len(o.unreported), "after": now.Sub(o.started).String()})
 }
 
 func (o *owner) stopUnneeded() {
@@ -301,7 +301,7 @@
 	for _, vm := range o.state.VMs {
 		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantineTo {
 			o.reportedQuarantines[vm.Name] = vm.Health.QuarantineTo
-			o.s.config.Reporter.Report(reporter.VMJudged, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantineTo.Sub(now).String()})
+			o.s.config.Reporter.Report(reporter.JobVMQuarantined, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantineTo.Sub(now).String()})
 		}
 	}
 }
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -118,7 +118,7 @@
 		}
 		err := s.runOwnership(ctx)
 		if ctx.Err() == nil {
-			s.config.Reporter.Report(reporter.CellLost, reporter.Fields{"error": fmt.Sprint(err)})
+			s.config.Reporter.Report(reporter.CellOwnershipLost, reporter.Fields{"error": fmt.Sprint(err)})
 			_ = pauser.Pause(ctx, retryDelay)
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	o.writer.fence = s.elector.Fence()
 	s.owner.Store(o)
-	s.config.Reporter.Report(reporter.CellTaken, reporter.Fields{"epoch": epoch, "jobs": len(o.state.Jobs)})
+	s.config.Reporter.Report(reporter.CellOwnershipTaken, reporter.Fields{"epoch": epoch, "jobs": len(o.state.Jobs)})
 	runErr := make(chan error, 1)
 	go func() { runErr <- o.run(ctx) }()
 	select {
@@ -168,7 +168,7 @@
 	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := s.elector.Release(limit); err != nil && !keeper.IsErrLeaseNotExist(err) {
-		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"error": err.Error()})
+		s.config.Reporter.Report(reporter.HandOverFailed, reporter.Fields{"error": err.Error()})
 	}
 }
 
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -377,7 +377,7 @@
 		err := s.conn.Call(ctx, messenger.MethodWorkOrders, m, nil)
 		cancel()
 		if err != nil {
-			s.reporter.Report(reporter.OrdersNotTaken, reporter.Fields{"vm": s.vm.Name, "session": s.number, "epoch": s.epoch, "orders": len(m.Orders), "error": err.Error()})
+			s.reporter.Report(reporter.OrdersNotAccepted, reporter.Fields{"vm": s.vm.Name, "session": s.number, "epoch": s.epoch, "orders": len(m.Orders), "error": err.Error()})
 			s.conn.Close() // the agent opens another session and reports its state in it
 			return
 		}
--- a/internal/kernel/reporter/catalogue_agent_requests.go
+++ b/internal/kernel/reporter/catalogue_agent_requests.go
@@ -7,7 +7,7 @@
 const (
 	UpstreamAnnounced Code = 600 + iota
 	UpstreamLeaving
-	UpstreamGone
+	UpstreamRemoved
 	SessionOpened
 	SessionLost
 	DrainBegan
@@ -17,7 +17,7 @@
 var agentRequestDefinitions = []Definition{
 	{UpstreamAnnounced, log.InfoLevel, "upstream announced", "An upstream on the agent's VM announced itself and can take requests."},
 	{UpstreamLeaving, log.InfoLevel, "upstream leaving", "An upstream on the agent's VM is leaving: it finishes running requests and takes no new ones."},
-	{UpstreamGone, log.InfoLevel, "upstream removed", "An upstream on the agent's VM has not renewed its announcement and was removed."},
+	{UpstreamRemoved, log.InfoLevel, "upstream removed", "An upstream on the agent's VM has not renewed its announcement and was removed."},
 	{SessionOpened, log.InfoLevel, "session opened", "The agent is connected to an entry and announced its upstreams there."},
 	{SessionLost, log.WarnLevel, "session lost", "The connection to an entry ended or could not be opened; the agent tries again."},
 	{DrainBegan, log.InfoLevel, "drain started", "The agent is leaving: it notifies all entries, refuses new requests and finishes running ones."},
--- a/internal/kernel/reporter/catalogue_control.go
+++ b/internal/kernel/reporter/catalogue_control.go
@@ -20,18 +20,18 @@
 	AttemptFailed
 	AttemptMoved
 	AttemptLost
-	StrayStopped
+	UnassignedAttemptStopped
 	VMJoined
 	VMChanged
 	VMLost
-	VMGone
+	VMRemoved
 	VMQuarantined
 	VMReleased
 	EpochOpened
 	OwnershipLost
 	OutageLeaseGranted
 	OutageLeaseEnded
-	LeasesSettled
+	EarlierLeasesEnded
 	SnapshotTaken
 	SnapshotFailed
 	RecoveryFailed
@@ -54,18 +54,18 @@
 	{AttemptFailed, log.InfoLevel, "attempt failed", "A task ended with an error; it is retried on another VM until its attempts are used up."},
 	{AttemptMoved, log.InfoLevel, "attempt moved", "A task was checkpointed and waits to resume."},
 	{AttemptLost, log.WarnLevel, "attempt lost", "An attempt ended without a result because its VM or lease was lost; the task is queued again."},
-	{StrayStopped, log.WarnLevel, "stray attempt stopped", "An agent reported an attempt that is not the current one; it was ordered to stop."},
+	{UnassignedAttemptStopped, log.WarnLevel, "stray attempt stopped", "An agent reported an attempt that is not the current one; it was ordered to stop."},
 	{VMJoined, log.InfoLevel, "VM joined", "An agent opened the first session of a VM with the cell."},
 	{VMChanged, log.InfoLevel, "VM changed", "The size, location, agent or upstreams of a VM changed."},
 	{VMLost, log.WarnLevel, "VM lost", "The lease of a VM has definitely expired; its tasks are queued again."},
-	{VMGone, log.InfoLevel, "VM removed", "A VM that has been disconnected for a long time and has no tasks was removed."},
+	{VMRemoved, log.InfoLevel, "VM removed", "A VM that has been disconnected for a long time and has no tasks was removed."},
 	{VMQuarantined, log.WarnLevel, "VM quarantined", "Several different tasks failed on a VM in a row; it gets no tasks until the given time."},
 	{VMReleased, log.InfoLevel, "VM released from quarantine", "The VM is probed with one task at a time."},
 	{EpochOpened, log.InfoLevel, "cell taken over", "This process owns the cell from now on."},
 	{OwnershipLost, log.WarnLevel, "ownership lost", "Another process owns the cell or soon will."},
 	{OutageLeaseGranted, log.WarnLevel, "outage lease granted", "The store can't be reached; tasks keep running under the longer lease."},
 	{OutageLeaseEnded, log.InfoLevel, "outage ended", "The store can be reached again; VMs get the short lease."},
-	{LeasesSettled, log.InfoLevel, "earlier leases ended", "No lease of an earlier owner is in force any more."},
+	{EarlierLeasesEnded, log.InfoLevel, "earlier leases ended", "No lease of an earlier owner is in force any more."},
 	{SnapshotTaken, log.DebugLevel, "snapshot taken", "The journal was truncated after a snapshot."},
 	{SnapshotFailed, log.WarnLevel, "snapshot failed", "The journal grows until a later snapshot succeeds; recovery takes longer."},
 	{RecoveryFailed, log.ErrorLevel, "recovery failed", "This process could not read the cell's journal and tries again."},
--- a/internal/kernel/reporter/catalogue_job.go
+++ b/internal/kernel/reporter/catalogue_job.go
@@ -6,9 +6,9 @@
 const (
 	JobAccepted Code = 900 + iota
 	JobRefused
-	JobUnsettled
+	JobOutcomeUnknown
 	JobCancelAccepted
-	JobAnswerFailed
+	JobQueryFailed
 	JobLoaded
 	JobEnded
 	JobStartDecided
@@ -19,25 +19,25 @@
 	JobRunAdopted
 	VMAttached
 	VMDetached
-	CellTaken
-	CellLost
-	CellSettled
+	CellOwnershipTaken
+	CellOwnershipLost
+	CellReconciled
 	JobRecordsUnreadable
 	ProgressNotStored
 	ProgressStored
-	PolicyTaken
+	PolicyApplied
 	PolicyUnreadable
-	StoreLost
-	StoreRegained
+	StoreUnreachable
+	StoreReachable
 	OwnerUnreachable
-	OwnerReached
+	OwnerReachable
 	MessageMalformed
-	VMJudged
-	AdviceTaken
+	JobVMQuarantined
+	AdviceReceived
 	JobMoveDecided
 	JobStepWaits
-	JobCancelSeen
-	OrdersNotTaken
+	JobCancelReceived
+	OrdersNotAccepted
 	JobStopOverdue
 	StartsHeld
 )
@@ -45,9 +45,9 @@
 // Events of jobs at agents, numbered from 950.
 const (
 	WorkerAnnounced Code = 950 + iota
-	WorkerReborn
-	WorkerSilent
-	WorkerRegained
+	WorkerRestarted
+	WorkerNotResponding
+	WorkerResponding
 	RunFound
 	RunStarted
 	RunEnded
@@ -56,9 +56,9 @@
 	StartUnanswered
 	StopUnanswered
 	PaceFailed
-	OrdersVoid
+	OrdersExpired
 	OrderMalformed
-	OwnerFollowed
+	OwnerAccepted
 	OwnerLost
 	AnnouncementMalformed
 	StopWithoutEffect
@@ -67,9 +67,9 @@
 var jobDefinitions = []Definition{
 	{JobAccepted, log.InfoLevel, "job accepted", "The job is stored and the caller was informed."},
 	{JobRefused, log.InfoLevel, "job refused", "The job was not accepted and never runs; the caller received the reason."},
-	{JobUnsettled, log.WarnLevel, "job outcome unknown", "The store's answer was lost: the caller received an unknown outcome and asks again with the same id."},
+	{JobOutcomeUnknown, log.WarnLevel, "job outcome unknown", "The store's answer was lost: the caller received an unknown outcome and asks again with the same id."},
 	{JobCancelAccepted, log.InfoLevel, "cancellation accepted", "The cancellation is stored; the runs of the job are being stopped."},
-	{JobAnswerFailed, log.WarnLevel, "job query failed", "Neither the owner nor the store could answer; the caller was asked to retry."},
+	{JobQueryFailed, log.WarnLevel, "job query failed", "Neither the owner nor the store could answer; the caller was asked to retry."},
 	{JobLoaded, log.InfoLevel, "job taken in", "The owner of the cell has loaded the job and will start its tasks."},
 	{JobEnded, log.InfoLevel, "job ended", "All tasks are done, or the job failed or was cancelled."},
 	{JobStartDecided, log.InfoLevel, "start decided", "A task was assigned to a VM; the fields show the inputs of the decision."},
@@ -80,32 +80,32 @@
 	{JobRunAdopted, log.InfoLevel, "run adopted", "A worker has a run that this owner did not order, for example after a change of owner."},
 	{VMAttached, log.InfoLevel, "VM attached", "The agent of a VM has a session with this owner and reported its runs."},
 	{VMDetached, log.WarnLevel, "VM detached", "There is no contact with the agent of a VM; its runs count as running until their leases have expired."},
-	{CellTaken, log.InfoLevel, "ownership taken", "This entry owns the cell from now on, with the given epoch."},
-	{CellLost, log.WarnLevel, "ownership lost", "This entry no longer owns the cell; another one takes over."},
-	{CellSettled, log.InfoLevel, "inherited jobs reconciled", "Every VM has reported, or its leases have expired: tasks of jobs from before the change of owner may start."},
+	{CellOwnershipTaken, log.InfoLevel, "ownership taken", "This entry owns the cell from now on, with the given epoch."},
+	{CellOwnershipLost, log.WarnLevel, "ownership lost", "This entry no longer owns the cell; another one takes over."},
+	{CellReconciled, log.InfoLevel, "inherited jobs reconciled", "Every VM has reported, or its leases have expired: tasks of jobs from before the change of owner may start."},
 	{JobRecordsUnreadable, log.ErrorLevel, "record unreadable", "A record in the store can't be read and is left unchanged; it was written by another program or is damaged."},
 	{ProgressNotStored, log.WarnLevel, "progress not stored", "Ends of runs could not be stored; they are not acknowledged and are written again."},
 	{ProgressStored, log.DebugLevel, "progress stored", "Ends of runs are stored and workers may discard them."},
-	{PolicyTaken, log.InfoLevel, "policy applied", "A newer version of queues and services, or a change of the availability zones that are out, is in force here."},
+	{PolicyApplied, log.InfoLevel, "policy applied", "A newer version of queues and services, or a change of the availability zones that are out, is in force here."},
 	{PolicyUnreadable, log.ErrorLevel, "policy unreadable", "The configuration written by the operators can't be read; the previous version stays in force. Changes of availability zones are still applied."},
-	{StoreLost, log.WarnLevel, "store unreachable", "The store does not answer this process. Jobs continue; new ones are refused."},
-	{StoreRegained, log.InfoLevel, "store reachable again", "The store answers again."},
+	{StoreUnreachable, log.WarnLevel, "store unreachable", "The store does not answer this process. Jobs continue; new ones are refused."},
+	{StoreReachable, log.InfoLevel, "store reachable again", "The store answers again."},
 	{OwnerUnreachable, log.WarnLevel, "owner unreachable", "This entry can't reach the owner of the cell; it answers from the store what it can."},
-	{OwnerReached, log.InfoLevel, "owner reachable again", "This entry can reach the owner of the cell again."},
+	{OwnerReachable, log.InfoLevel, "owner reachable again", "This entry can reach the owner of the cell again."},
 	{MessageMalformed, log.ErrorLevel, "message malformed", "A message of another process can't be read and was ignored."},
-	{VMJudged, log.WarnLevel, "VM quarantined", "Different tasks failed on the VM with none done in between, or most of its tasks stalled; for some seconds nothing starts there, then one task at a time."},
-	{AdviceTaken, log.InfoLevel, "advice received", "The advising service answered on which VMs a step may run."},
+	{JobVMQuarantined, log.WarnLevel, "VM quarantined", "Different tasks failed on the VM with none done in between, or most of its tasks stalled; for some seconds nothing starts there, then one task at a time."},
+	{AdviceReceived, log.InfoLevel, "advice received", "The advising service answered on which VMs a step may run."},
 	{JobStepWaits, log.InfoLevel, "step waits", "Tasks of a step have waited for a second or more; the cause counts the VMs by the reason why they can't take one. Only the longest waits are logged, a bounded number per second."},
-	{JobCancelSeen, log.InfoLevel, "cancellation taken in", "The owner of the cell received the cancellation of a job; by says how it arrived (hint, watch, list or takeover)."},
-	{OrdersNotTaken, log.WarnLevel, "orders not taken", "An agent refused orders or did not answer them; its session ends, and the orders are decided again in the next one."},
+	{JobCancelReceived, log.InfoLevel, "cancellation taken in", "The owner of the cell received the cancellation of a job; by says how it arrived (hint, watch, list or takeover)."},
+	{OrdersNotAccepted, log.WarnLevel, "orders not taken", "An agent refused orders or did not answer them; its session ends, and the orders are decided again in the next one."},
 	{JobStopOverdue, log.WarnLevel, "stop overdue", "A run was ordered to stop long ago and its agent still lists it."},
 	{JobMoveDecided, log.InfoLevel, "move decided", "A long-running task is stopped and restarted on another VM, so that best-effort tasks that it keeps off its VM may run there."},
 	{StartsHeld, log.WarnLevel, "starts held", "The policy was read too long ago to start tasks by it: an availability zone may have been taken out since. With held=false, starts have resumed."},
 
 	{WorkerAnnounced, log.InfoLevel, "worker announced itself", "The worker of this VM reported its state."},
-	{WorkerReborn, log.WarnLevel, "worker restarted", "The worker restarted as a new incarnation and has lost its state; its runs are lost."},
-	{WorkerSilent, log.WarnLevel, "worker not responding", "The worker of this VM does not answer; nothing starts here."},
-	{WorkerRegained, log.InfoLevel, "worker responding again", "The worker answers again."},
+	{WorkerRestarted, log.WarnLevel, "worker restarted", "The worker restarted as a new incarnation and has lost its state; its runs are lost."},
+	{WorkerNotResponding, log.WarnLevel, "worker not responding", "The worker of this VM does not answer; nothing starts here."},
+	{WorkerResponding, log.InfoLevel, "worker responding again", "The worker answers again."},
 	{RunFound, log.WarnLevel, "run found", "The worker has a run that this process did not start; the owner decides what to do with it."},
 	{RunStarted, log.InfoLevel, "run started", "The worker has confirmed the run."},
 	{RunEnded, log.InfoLevel, "run ended", "The worker reported the end of the run."},
@@ -114,9 +114,9 @@
 	{StartUnanswered, log.WarnLevel, "start not answered", "The worker did not answer a start. Its task waits until a status poll shows the run or shows that the start can't be carried out any more."},
 	{StopUnanswered, log.WarnLevel, "stop not answered", "The worker did not answer a stop; it is repeated."},
 	{PaceFailed, log.WarnLevel, "pace not set", "The worker did not apply a new speed of a run; the owner orders it again."},
-	{OrdersVoid, log.WarnLevel, "orders expired", "Orders of an ended session, of an earlier owner or for another incarnation of the worker were not carried out; the fields that differ from the current values show which."},
+	{OrdersExpired, log.WarnLevel, "orders expired", "Orders of an ended session, of an earlier owner or for another incarnation of the worker were not carried out; the fields that differ from the current values show which."},
 	{OrderMalformed, log.ErrorLevel, "order malformed", "An order can't be read and was not carried out."},
-	{OwnerFollowed, log.InfoLevel, "new owner accepted", "This agent follows the orders of an owner with a higher epoch from now on."},
+	{OwnerAccepted, log.InfoLevel, "new owner accepted", "This agent follows the orders of an owner with a higher epoch from now on."},
 	{OwnerLost, log.WarnLevel, "owner lost", "The owner of the cell does not answer; runs continue until the grant ends."},
 	{StopWithoutEffect, log.WarnLevel, "stop without effect", "The worker answered a stop but the run is still running; the stop is repeated."},
 	{AnnouncementMalformed, log.WarnLevel, "announcement malformed", "An announcement to this agent did not come from a worker and was ignored."},
--- a/internal/kernel/reporter/catalogue_platform.go
+++ b/internal/kernel/reporter/catalogue_platform.go
@@ -6,13 +6,13 @@
 const (
 	RegistrationFailed Code = 200 + iota
 	Listening
-	LeaveNotTold
-	HandOverNotDone
+	LeaveNotReported
+	HandOverFailed
 )
 
 var platformDefinitions = []Definition{
 	{RegistrationFailed, log.WarnLevel, "registration failed", "The entry could not write or renew its address in the store; others still find it through the entries that they know."},
 	{Listening, log.InfoLevel, "listening", "A listener of the process is open at the given address."},
-	{LeaveNotTold, log.WarnLevel, "leave not reported", "A stopping agent could not notify the cell's owner; the owner notices when the session times out."},
-	{HandOverNotDone, log.WarnLevel, "hand-over failed", "A stopping owner could not hand over its cell, for example because the store is unreachable; another entry takes over when the lease has expired."},
+	{LeaveNotReported, log.WarnLevel, "leave not reported", "A stopping agent could not notify the cell's owner; the owner notices when the session times out."},
+	{HandOverFailed, log.WarnLevel, "hand-over failed", "A stopping owner could not hand over its cell, for example because the store is unreachable; another entry takes over when the lease has expired."},
 }
--- a/internal/kernel/reporter/catalogue_standin.go
+++ b/internal/kernel/reporter/catalogue_standin.go
@@ -4,9 +4,9 @@
 
 // Events of the area "stand-in", numbered from 800.
 const (
-	StandinListens Code = 800 + iota
+	StandinListening Code = 800 + iota
 )
 
 var standinDefinitions = []Definition{
-	{StandinListens, log.InfoLevel, "stand-in listening", "A stand-in for the platform is listening on this address; for demos and tests only."},
+	{StandinListening, log.InfoLevel, "stand-in listening", "A stand-in for the platform is listening on this address; for demos and tests only."},
 }
--- a/internal/operator/tallier/tallier.go
+++ b/internal/operator/tallier/tallier.go
@@ -129,9 +129,9 @@
 	case reporter.JobEnded:
 		j := t.job(f["job"])
 		j.ended, j.state, j.queue = at, f["state"], f["queue"]
-	case reporter.CellLost:
+	case reporter.CellOwnershipLost:
 		t.ownerlessSince = at
-	case reporter.CellTaken:
+	case reporter.CellOwnershipTaken:
 		if !t.ownerlessSince.IsZero() {
 			t.ownerless += at.Sub(t.ownerlessSince)
 			t.ownerlessSince = time.Time{}
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -159,7 +159,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 		defer cancel()
 		if err := c.sendOutcome(ctx, req); err != nil {
-			c.config.Reporter.Report(reporter.ClaimUnsettled, reporter.Fields{
+			c.config.Reporter.Report(reporter.ClaimOutcomeNotRecorded, reporter.Fields{
 				"tenant": o.Tenant, "service": o.Service, "request-id": o.RequestID, "error": err.Error(),
 			})
 		}
--- a/internal/request/receiver/receiver.go
+++ b/internal/request/receiver/receiver.go
@@ -155,7 +155,7 @@
 	// While the owner is unavailable, outcomes can't be recorded, and a longer wait
 	// would only delay the shutdown. Repeats of their keys stay refused, which is safe.
 	if err := r.claimer.Drain(ctx); err != nil {
-		r.config.Reporter.Report(reporter.ClaimUnsettled, reporter.Fields{"error": err.Error()})
+		r.config.Reporter.Report(reporter.ClaimOutcomeNotRecorded, reporter.Fields{"error": err.Error()})
 	}
 	return nil
 }
--- a/internal/request/receiver/route.go
+++ b/internal/request/receiver/route.go
@@ -182,7 +182,7 @@
 // an unknown outcome.
 func (r *Receiver) verifyReply(req messenger.RunRequest, reply messenger.RunReply, u *tracker.Upstream) messenger.RunReply {
 	if reason := replyError(req, reply); reason != "" {
-		r.config.Reporter.Report(reporter.AnswerBroken, reporter.Fields{"request-id": req.RequestID, "upstream": u.ID(), "reason": reason})
+		r.config.Reporter.Report(reporter.AnswerInvalid, reporter.Fields{"request-id": req.RequestID, "upstream": u.ID(), "reason": reason})
 		return messenger.RunReply{Outcome: messenger.OutcomeUnknown, Reason: reason}
 	}
 	return reply
--- a/internal/service/agent/agent.go
+++ b/internal/service/agent/agent.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := a.runner.Drain(ctx); err != nil {
-		a.config.Reporter.Report(reporter.LeaveNotTold, reporter.Fields{"error": err.Error()})
+		a.config.Reporter.Report(reporter.LeaveNotReported, reporter.Fields{"error": err.Error()})
 	}
 	return nil
 }
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := s.controller.Drain(ctx); err != nil {
-		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"cell": s.config.Cell, "error": err.Error()})
+		s.config.Reporter.Report(reporter.HandOverFailed, reporter.Fields{"cell": s.config.Cell, "error": err.Error()})
 	}
 	return nil
 }
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -138,7 +138,7 @@
 // reported as ended.
 func (g *Guardian) beginIncarnationLocked(incarnation string) {
 	if g.incarnation != "" {
-		g.config.Reporter.Report(reporter.WorkerReborn, reporter.Fields{"life": incarnation, "before": g.incarnation, "runs": len(g.runs)})
+		g.config.Reporter.Report(reporter.WorkerRestarted, reporter.Fields{"life": incarnation, "before": g.incarnation, "runs": len(g.runs)})
 	}
 	lastPollSentAt := g.lastPollSentAt
 	g.incarnation, g.ends, g.endsStored, g.clockAt, g.polledEpoch, g.lastPollSentAt = incarnation, nil, 0, time.Time{}, 0, time.Time{}
@@ -288,7 +288,7 @@
 	if epoch <= g.epoch {
 		return
 	}
-	g.config.Reporter.Report(reporter.OwnerFollowed, reporter.Fields{"epoch": epoch, "before": g.epoch})
+	g.config.Reporter.Report(reporter.OwnerAccepted, reporter.Fields{"epoch": epoch, "before": g.epoch})
 	g.epoch = epoch
 	g.cancelPollLocked() // the poll in progress carries the old epoch
 }
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -64,7 +64,7 @@
 		g.followLocked(o.Epoch)
 	}
 	if o.Session != g.session || o.Epoch != g.epoch || o.Life != g.incarnation {
-		g.config.Reporter.Report(reporter.OrdersVoid, reporter.Fields{
+		g.config.Reporter.Report(reporter.OrdersExpired, reporter.Fields{
 			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Life, "life-here": g.incarnation, "orders": len(o.Orders),
 		})
 		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Life}
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -72,7 +72,7 @@
 	defer g.mu.Unlock()
 	g.failedPolls, g.absentPolls = 0, 0
 	if !g.unresponsiveSince.IsZero() {
-		g.config.Reporter.Report(reporter.WorkerRegained, reporter.Fields{"silent": g.config.Now().Sub(g.unresponsiveSince).String()})
+		g.config.Reporter.Report(reporter.WorkerResponding, reporter.Fields{"silent": g.config.Now().Sub(g.unresponsiveSince).String()})
 		g.unresponsiveSince = time.Time{}
 		g.signal()
 	}
@@ -174,7 +174,7 @@
 	g.failedPolls++
 	if g.unresponsiveSince.IsZero() && g.failedPolls >= failedPollsToUnresponsive {
 		g.unresponsiveSince = now
-		g.config.Reporter.Report(reporter.WorkerSilent, reporter.Fields{"error": err.Error(), "runs": len(g.runs)})
+		g.config.Reporter.Report(reporter.WorkerNotResponding, reporter.Fields{"error": err.Error(), "runs": len(g.runs)})
 		g.signal()
 	}
 	if IsErrWorkerNotExist(err) {
--- a/tests/integration/fleet_versions_test.go
+++ b/tests/integration/fleet_versions_test.go
@@ -100,7 +100,7 @@
 			switch {
 			case strings.Contains(line, fmt.Sprintf(" event=%d ", reporter.Listening)):
 				held = 0 // started
-			case strings.Contains(line, fmt.Sprintf(" event=%d ", reporter.FleetVersionTaken)):
+			case strings.Contains(line, fmt.Sprintf(" event=%d ", reporter.FleetVersionApplied)):
 				var version int64
 				if _, err := fmt.Sscanf(line[strings.LastIndex(line, "version="):], "version=%d", &version); err != nil {
 					t.Fatalf("%s: %v", line, err)
