--- a/internal/job/scheduler/orders_test.go
+++ b/internal/job/scheduler/orders_test.go
@@ -73,7 +73,7 @@
 	case <-time.After(3 * time.Second):
 		t.Error("the session has not ended")
 	}
-	if line := <-lines; !strings.Contains(line, "orders not taken") || !strings.Contains(line, "vm=vm-1") {
+	if line := <-lines; !strings.Contains(line, "orders not accepted") || !strings.Contains(line, "vm=vm-1") {
 		t.Errorf("logged %q", line)
 	}
 }
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -87,7 +87,7 @@
 	b.sendReport()
 	b.cancel(sourceHint)
 	b.cancel(sourceWatch)
-	if got := strings.Count(b.log.String(), "cancellation taken in"); got != 1 || !strings.Contains(b.log.String(), "by=hint") {
+	if got := strings.Count(b.log.String(), "cancellation received"); got != 1 || !strings.Contains(b.log.String(), "by=hint") {
 		t.Errorf("the cancellation is logged %d times: %s", got, b.log)
 	}
 	b.runChecks(0)
--- a/internal/job/scheduler/waits.go
+++ b/internal/job/scheduler/waits.go
@@ -18,7 +18,7 @@
 	waitsPerCheck      = 3 // the longest waits; the causes in a backlog of hundreds are the same
 )
 
-// reportWaits logs why steps wait. No other event between "taken in" and "start decided" shows
+// reportWaits logs why steps wait. No other event between "job loaded" and "start decided" shows
 // why a job is late.
 func (o *owner) reportWaits(now time.Time) {
 	if now.Sub(o.waitsCheckedAt) < waitCheckInterval {
--- a/internal/operator/tallier/tallier_test.go
+++ b/internal/operator/tallier/tallier_test.go
@@ -13,11 +13,11 @@
   0.2 entry-1 timestamp=2026-04-01T02:00:01Z level=info message="start decided" event=907 task=00000000000004d2.0.0.0 run=1 vm=a waited=1s
   timestamp=2026-04-01T02:00:02Z level=info message="step waits" event=931 job=00000000000004d2 step=0 cause="2 VMs without room"
 timestamp=2026-04-01T02:00:03Z level=info message="stop decided" event=908 task=00000000000004d2.0.0.0 run=1 cause="can go on elsewhere"
-timestamp=2026-04-01T02:00:03Z level=info message="end of run noted" event=910 task=00000000000004d2.0.0.0 run=1 how=stopped
+timestamp=2026-04-01T02:00:03Z level=info message="run end recorded" event=910 task=00000000000004d2.0.0.0 run=1 how=stopped
 timestamp=2026-04-01T02:00:04Z level=warn message="ownership lost" event=916 name=entry-1
 timestamp=2026-04-01T02:00:06Z level=info message="ownership taken" event=915 name=entry-2
 timestamp=2026-04-01T02:00:06Z level=info message="start decided" event=907 task=00000000000004d2.0.0.0 run=2 vm=b waited=3s
-timestamp=2026-04-01T02:00:07Z level=info message="end of run noted" event=910 task=00000000000004d2.0.0.0 run=2 how=done
+timestamp=2026-04-01T02:00:07Z level=info message="run end recorded" event=910 task=00000000000004d2.0.0.0 run=2 how=done
 timestamp=2026-04-01T02:00:07Z level=info message="job ended" event=906 job=00000000000004d2 queue=q state=done
 timestamp=2026-04-01T02:00:08Z level=info message="job accepted" event=900 job=00000000000004d3 queue=q
 timestamp=2026-04-01T02:00:09Z level=info message="job refused" event=901 reason="store not reached"
--- a/tests/integration/job_faults_test.go
+++ b/tests/integration/job_faults_test.go
@@ -174,11 +174,11 @@
 	}
 	for _, want := range []struct{ message, field string }{
 		{"job accepted", "job=" + j.ID},
-		{"job taken in", "job=" + j.ID},
+		{"job loaded", "job=" + j.ID},
 		{"start decided", "task=" + j.ID + ".0.0.0"},
 		{"run started", "task=" + j.ID + ".0.0.0"},
 		{"run ended", "task=" + j.ID + ".0.0.0"},
-		{"end of run noted", "task=" + j.ID + ".0.0.0"},
+		{"run end recorded", "task=" + j.ID + ".0.0.0"},
 		{"job ended", "job=" + j.ID},
 	} {
 		found := 0
