--- a/internal/agent/gatekeeper/clock_test.go
+++ b/internal/agent/gatekeeper/clock_test.go
@@ -7,9 +7,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// An upstream leaves, the wall clock jumps back, and its next process announces itself.
+// An upstream leaves, the wall clock steps back, and its next process announces itself.
 // It must become ready at once, not only after the clock has passed the time of leaving.
-func TestUpstreamReadyAfterClockJumpsBack(t *testing.T) {
+func TestUpstreamReadyAfterClockStepsBack(t *testing.T) {
 	for _, withTime := range []bool{false, true} {
 		// Now has a monotonic part, as time.Now has; after the jump TimeOfDay is an hour
 		// behind it.
--- a/internal/bench/measurer/pool.go
+++ b/internal/bench/measurer/pool.go
@@ -277,7 +277,7 @@
 func (p *pool) snapshot(f *describer.Fleet, l *learner.Learner, evictions int) placer.Snapshot {
 	s := placer.Snapshot{
 		Now: p.clock(), Fleet: f, EvictionsLeft: evictions,
-		Interference: l.Interference, Pressure: l.Pressure, Recent: l.Recent,
+		Interference: l.Interference, Pressure: l.Pressure, RecentWindows: l.RecentWindows,
 	}
 	for _, v := range p.vms {
 		s.VMs = append(s.VMs, v.spec)
--- a/internal/control/controller/planning.go
+++ b/internal/control/controller/planning.go
@@ -144,7 +144,7 @@
 func (o *owner) placerSnapshot(now time.Time) placer.Snapshot {
 	s := placer.Snapshot{
 		Now: now, Fleet: o.fleet, Interference: o.config.Interference, Pressure: o.config.Pressure,
-		Recent: o.config.RecentWindows, Unreconciled: !o.reconciled,
+		RecentWindows: o.config.RecentWindows, Unreconciled: !o.reconciled,
 		EvictionsLeft: o.evictionBudget.left(now, o.evictionRate()),
 	}
 	names := o.state.VMs()
--- a/internal/control/learner/history.go
+++ b/internal/control/learner/history.go
@@ -91,7 +91,7 @@
 	if at == 0 {
 		p.arrived = now
 	}
-	// A new slice each time, since callers of Recent may still hold the old
+	// A new slice each time, since callers of RecentWindows may still hold the old
 	// one.
 	next := make([]placer.Window, 0, pressuresKept+1)
 	next = append(next, p.windows[:at]...)
@@ -100,11 +100,11 @@
 	p.windows = next[:min(len(next), pressuresKept)]
 }
 
-// Recent returns the latest measurements of a service on a VM, newest first. It
+// RecentWindows returns the latest measurements of a service on a VM, newest first. It
 // returns none if reports have stopped or no longer include the service, which
 // may be stuck. An idle service is reported as idle. Callers must not change
 // the result.
-func (l *Learner) Recent(vm, service string) []placer.Window {
+func (l *Learner) RecentWindows(vm, service string) []placer.Window {
 	h := l.vms[vm]
 	if h == nil {
 		return nil
@@ -125,7 +125,7 @@
 // recent report, which means unknown, not idle.
 func (l *Learner) Pressure(vm, service string) float64 {
 	const newest = 0.6
-	w := l.Recent(vm, service)
+	w := l.RecentWindows(vm, service)
 	switch len(w) {
 	case 0:
 		return 0
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -173,7 +173,7 @@
 		if math.Abs(a-b) > 0.03 || math.Abs(ca-cb) > 0.03 {
 			t.Fatalf("in order %.3f (%.2f), mixed %.3f (%.2f)", a, ca, b, cb)
 		}
-		if p, q := ordered.learner.Recent("vm", "depth")[0], mixed.learner.Recent("vm", "depth")[0]; p != q {
+		if p, q := ordered.learner.RecentWindows("vm", "depth")[0], mixed.learner.RecentWindows("vm", "depth")[0]; p != q {
 			t.Fatalf("latest window %+v and %+v", p, q)
 		}
 	})
@@ -213,7 +213,7 @@
 	if p := b.learner.Pressure("vm0", "depth"); p != 0 {
 		t.Errorf("pressure %.2f a minute after the last report", p)
 	}
-	if got := b.learner.Recent("vm0", "depth"); got != nil {
+	if got := b.learner.RecentWindows("vm0", "depth"); got != nil {
 		t.Errorf("windows %v a minute after the last report", got)
 	}
 }
--- a/internal/control/placer/bench_test.go
+++ b/internal/control/placer/bench_test.go
@@ -32,7 +32,7 @@
 		})
 	}
 	recent := windowsOf(s.Now, 0.6, 4)("", "")
-	s.Recent = func(string, string) []Window { return recent }
+	s.RecentWindows = func(string, string) []Window { return recent }
 	s.Interference = func(string, string) (float64, float64) { return 0.01, 0.8 }
 	return s
 }
--- a/internal/control/placer/ladder.go
+++ b/internal/control/placer/ladder.go
@@ -73,7 +73,7 @@
 // largest factor.
 func (r *round) worstMiss(v *vmState) (worst objectiveMiss, ok bool) {
 	for _, s := range v.services {
-		windows := windowsSince(r.recent(v.vm.Name, s.name), v.vm.LastAdjustedAt)
+		windows := windowsSince(r.recentWindows(v.vm.Name, s.name), v.vm.LastAdjustedAt)
 		if len(windows) == 0 || windows[0].Ratio <= worst.ratio {
 			continue
 		}
@@ -87,7 +87,7 @@
 
 // requiredReports returns n, or 1 if the caller provides no history.
 func (r *round) requiredReports(n int) int {
-	if r.snapshot.Recent == nil {
+	if r.snapshot.RecentWindows == nil {
 		return 1
 	}
 	return n
@@ -244,7 +244,7 @@
 	budget := math.Inf(1)
 	var worst objectiveMiss
 	for _, s := range v.services {
-		windows := windowsSince(r.recent(v.vm.Name, s.name), v.vm.LastAdjustedAt)
+		windows := windowsSince(r.recentWindows(v.vm.Name, s.name), v.vm.LastAdjustedAt)
 		if countLeading(windows, func(w Window) bool { return w.Ratio < r.limits.relaxBelow }) < r.requiredReports(relaxReports) {
 			return
 		}
--- a/internal/control/placer/ladder_test.go
+++ b/internal/control/placer/ladder_test.go
@@ -27,7 +27,7 @@
 	m.s.Interference = func(_, class string) (float64, float64) {
 		return map[string]float64{"noisy": 0.5, "harmless": 0.001}[class], 1
 	}
-	m.s.Recent = windowsOf(m.s.Now, ratio, 4)
+	m.s.RecentWindows = windowsOf(m.s.Now, ratio, 4)
 	return m
 }
 
@@ -68,7 +68,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := loadedCell(c.percent, c.ratio)
-			m.s.Recent = windowsOf(m.s.Now, c.ratio, c.reports)
+			m.s.RecentWindows = windowsOf(m.s.Now, c.ratio, c.reports)
 			m.s.EvictionsLeft = c.budget
 			if c.sinceAdjustment > 0 {
 				m.s.VMs[0].LastAdjustedAt = m.s.Now.Add(-c.sinceAdjustment)
@@ -115,7 +115,7 @@
 			for len(seen) > 0 && seen[0].To.After(m.s.Now.Add(-lag)) {
 				seen = seen[1:]
 			}
-			m.s.Recent = func(string, string) []Window { return seen[:min(4, len(seen))] }
+			m.s.RecentWindows = func(string, string) []Window { return seen[:min(4, len(seen))] }
 			plan := New(Config{}).Plan(m.s)
 			steps += len(plan.Throttles)
 			m.apply(plan)
@@ -263,7 +263,7 @@
 	c.TaskClasses = []describer.TaskClass{{Name: "watcher", Needs: describer.Resources{Millicores: 100}}}
 	s := Snapshot{Now: start, Fleet: describer.New(c), VMs: vmsOf(1, "a")}
 	s.VMs[0].Services, s.VMs[0].Committed = []string{"depth"}, cores(8)
-	s.Recent = windowsOf(start, 0, 2)
+	s.RecentWindows = windowsOf(start, 0, 2)
 	s.Interference = func(string, string) (float64, float64) { return 0.05, 0 }
 	for i := range 60 {
 		s.Queued = append(s.Queued, Task{ID: fmt.Sprint(i), Class: "watcher", Needs: describer.Resources{Millicores: 100}, Submitted: start})
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -65,10 +65,10 @@
 	// Pressure returns the measured p99 of a service on a VM divided by its
 	// latency objective; 0 if there is no recent report. May be nil.
 	Pressure func(vm, service string) float64
-	// Recent returns the latest measurements of a service on a VM, newest
-	// first; none if there is no recent report. If Recent is nil, the value of
+	// RecentWindows returns the latest measurements of a service on a VM, newest
+	// first; none if there is no recent report. If RecentWindows is nil, the value of
 	// Pressure is used as a single measurement that ends now.
-	Recent func(vm, service string) []Window
+	RecentWindows func(vm, service string) []Window
 	// EvictionsLeft is the remaining budget of planned evictions.
 	EvictionsLeft int
 	// Unreconciled is set while some VMs of the cell may not be known yet, as
--- a/internal/control/placer/round.go
+++ b/internal/control/placer/round.go
@@ -178,15 +178,15 @@
 
 // latestWindow returns the newest measurement of a service on a VM.
 func (r *round) latestWindow(vm, service string) (Window, bool) {
-	if w := r.recent(vm, service); len(w) > 0 {
+	if w := r.recentWindows(vm, service); len(w) > 0 {
 		return w[0], true
 	}
 	return Window{}, false
 }
 
-func (r *round) recent(vm, service string) []Window {
-	if r.snapshot.Recent != nil {
-		return r.snapshot.Recent(vm, service)
+func (r *round) recentWindows(vm, service string) []Window {
+	if r.snapshot.RecentWindows != nil {
+		return r.snapshot.RecentWindows(vm, service)
 	}
 	if r.snapshot.Pressure == nil {
 		return nil
--- a/internal/request/tracker/tracker_test.go
+++ b/internal/request/tracker/tracker_test.go
@@ -174,11 +174,11 @@
 	}
 }
 
-// TestAgentRestartedAfterItsClockJumpedBack restarts an agent whose clock was set back, so
+// TestAgentRestartAfterClockStepsBack restarts an agent whose clock stepped back, so
 // that its incarnation, the start time, is lower. It must be accepted as soon as the
 // connection of the previous incarnation has ended, and also if that one has only stopped
 // sending heartbeats.
-func TestAgentRestartedAfterItsClockJumpedBack(t *testing.T) {
+func TestAgentRestartAfterClockStepsBack(t *testing.T) {
 	ends := map[string]func(f *fixture){
 		"connection ended": func(f *fixture) { f.conn.Close() },
 		"no heartbeats":    func(f *fixture) { f.clock.add(sessionExpiries*defaultExpiry + time.Second) },
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -130,7 +130,7 @@
 		Cell: c.Cell, EntryID: c.ID, RPCAddress: c.Advertise, Keeper: s.keeper,
 		Refresh: s.follower.Refresh, Fleet: s.follower.Fleet, Reporter: c.Reporter, Metrics: s.metrics,
 		Placer: placer.New(placer.Config{}), ObserveUsage: observeBatch(interference),
-		Interference: interference.Interference, Pressure: interference.Pressure, RecentWindows: interference.Recent,
+		Interference: interference.Interference, Pressure: interference.Pressure, RecentWindows: interference.RecentWindows,
 		OwnerLease: c.OwnerLease, VMLease: c.VMLease, OutageLease: c.OutageLease,
 	})
 	s.forwarder = forwarder.New(forwarder.Config{
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -176,10 +176,10 @@
 	}
 }
 
-// The time of day jumps back between two processes of an agent, or within one. Later
+// The time of day steps back between two processes of an agent, or within one. Later
 // renewals must still apply, since leases would otherwise expire on a healthy VM. The
 // first renewal of the new process may be lost.
-func TestRenewalAfterTheClockJumpedBack(t *testing.T) {
+func TestRenewalAfterClockStepsBack(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		ctx := context.Background()
 		b := newFixture(t)
