--- a/internal/job/accountant/accountant_test.go
+++ b/internal/job/accountant/accountant_test.go
@@ -19,14 +19,14 @@
 	}
 	for i, task := range j.Occurrences[0].Steps[0].Tasks {
 		a.Place(task, vm, a.NextNumber(task), begin)
-		a.Apply(vm, Report{Life: "1", Ready: true, OrdersSeen: int64(i + 1), Ends: []ReportedEnd{{Seq: int64(i + 1), Key: key(1, 0, i, 1), How: EndDone}}}, at(10))
+		a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: int64(i + 1), Ends: []ReportedEnd{{Seq: int64(i + 1), Key: key(1, 0, i, 1), Outcome: EndDone}}}, at(10))
 	}
 	steps := a.WaitingSteps(at(10))
 	if len(steps) != 1 || steps[0].Number != 1 || j.State != JobRunning {
 		t.Fatalf("waiting steps %v, job %s", steps, j.State)
 	}
 	a.Place(steps[0].Tasks[0], vm, 1, at(10))
-	a.Apply(vm, Report{Life: "1", Ready: true, OrdersSeen: 3, Ends: []ReportedEnd{{Seq: 3, Key: key(1, 1, 0, 1), How: EndDone}}}, at(20))
+	a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 3, Ends: []ReportedEnd{{Seq: 3, Key: key(1, 1, 0, 1), Outcome: EndDone}}}, at(20))
 	if j.State != JobDone || vm.Committed != (specifier.Resources{}) || len(a.TakeEnded()) != 1 {
 		t.Errorf("job %s, committed %+v", j.State, vm.Committed)
 	}
@@ -40,22 +40,22 @@
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 	vm := attach(a, "vm")
 	a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
-	a.Apply(vm, Report{Life: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndDone}}}, at(10))
-	if j.Told() != JobRunning || vm.EndStored != 0 {
-		t.Fatalf("state %s reported, end %d acknowledged before the write", j.Told(), vm.EndStored)
+	a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(10))
+	if j.ReportedState() != JobRunning || vm.EndStored != 0 {
+		t.Fatalf("state %s reported, end %d acknowledged before the write", j.ReportedState(), vm.EndStored)
 	}
 	f := a.BeginFlush()
 	a.EndFlush(f, nil, errors.New("store unreachable"))
-	if j.Told() != JobRunning || vm.EndStored != 0 {
-		t.Fatalf("state %s reported, end %d acknowledged after a failed write", j.Told(), vm.EndStored)
+	if j.ReportedState() != JobRunning || vm.EndStored != 0 {
+		t.Fatalf("state %s reported, end %d acknowledged after a failed write", j.ReportedState(), vm.EndStored)
 	}
 	f = a.BeginFlush()
 	if len(f.Jobs) != 1 {
 		t.Fatalf("%d jobs are written again, want 1", len(f.Jobs))
 	}
 	a.EndFlush(f, map[string]JobState{j.Spec.ID: j.State}, nil)
-	if j.Told() != JobDone || vm.EndStored != 1 {
-		t.Errorf("state %s reported, end %d acknowledged", j.Told(), vm.EndStored)
+	if j.ReportedState() != JobDone || vm.EndStored != 1 {
+		t.Errorf("state %s reported, end %d acknowledged", j.ReportedState(), vm.EndStored)
 	}
 }
 
@@ -68,15 +68,15 @@
 		a.Place(task, vm, 1, begin)
 	}
 	end := func(seq int64, index int) {
-		a.Apply(vm, Report{Life: "1", Ready: true, Ends: []ReportedEnd{{Seq: seq, Key: key(1, 0, index, 1), How: EndDone}}}, at(10))
+		a.Apply(vm, Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: seq, Key: key(1, 0, index, 1), Outcome: EndDone}}}, at(10))
 	}
 	end(1, 0)
 	f := a.BeginFlush()
 	state := j.State
 	end(2, 1)
 	a.EndFlush(f, map[string]JobState{j.Spec.ID: state}, nil)
-	if vm.EndStored != 1 || j.Told() != JobRunning {
-		t.Errorf("end %d acknowledged, job reported as %s", vm.EndStored, j.Told())
+	if vm.EndStored != 1 || j.ReportedState() != JobRunning {
+		t.Errorf("end %d acknowledged, job reported as %s", vm.EndStored, j.ReportedState())
 	}
 	if f := a.BeginFlush(); len(f.Jobs) != 1 {
 		t.Errorf("%d jobs in the next write", len(f.Jobs))
@@ -92,13 +92,13 @@
 		lost   int
 		adopt  int
 	}{
-		{"order not received yet", Report{Life: "1", Ready: true}, "ordered", 0, 0},
-		{"order received, start not answered", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}, "ordered", 0, 0},
-		{"confirmed", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1))}}, "running", 0, 0},
-		{"refused", Report{Life: "1", Ready: true, OrdersSeen: 1}, "", 1, 0},
-		{"another incarnation", Report{Life: "2", Ready: true, OrdersSeen: 1}, "", 1, 0},
-		{"a run of an earlier owner", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(1, 0, 1, 7))}}, "running", 0, 1},
-		{"a run of an unknown job", Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(9, 0, 0, 1))}}, "running", 0, 1},
+		{"order not received yet", Report{Incarnation: "1", Ready: true}, "ordered", 0, 0},
+		{"order received, start not answered", Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}, "ordered", 0, 0},
+		{"confirmed", Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1))}}, "running", 0, 0},
+		{"refused", Report{Incarnation: "1", Ready: true, OrdersSeen: 1}, "", 1, 0},
+		{"another incarnation", Report{Incarnation: "2", Ready: true, OrdersSeen: 1}, "", 1, 0},
+		{"a run of an earlier owner", Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(1, 0, 1, 7))}}, "running", 0, 1},
+		{"a run of an unknown job", Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{confirmed(key(1, 0, 0, 1)), confirmed(key(9, 0, 0, 1))}}, "running", 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 		{"a copy", true, func(*Accountant) {}, 0},
 		{"cancelled", true, func(a *Accountant) { a.Cancel(jobID(1), at(5)) }, 2},
 		{"completed by the other run", true, func(a *Accountant) {
-			a.Apply(a.VMs["one"], Report{Life: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndDone}}}, at(5))
+			a.Apply(a.VMs["one"], Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(5))
 		}, 1},
 	}
 	for _, tt := range tests {
@@ -141,7 +141,7 @@
 			addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Copies: tt.copies})
 			for i, name := range []string{"one", "two"} {
 				vm := attach(a, name)
-				a.Apply(vm, Report{Life: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, int64(i+1)), Confirmed: true}}}, begin)
+				a.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, int64(i+1)), Confirmed: true}}}, begin)
 			}
 			tt.change(a)
 			if got := len(a.Unwanted()); got != tt.want {
@@ -154,7 +154,7 @@
 func TestFailures(t *testing.T) {
 	a := newState(t, 2)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	longRunning := addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
+	longRunning := addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 	vm := attach(a, "vm")
 	for run := range int64(3) {
 		a.EndRun(vm, key(1, 0, 0, run+1), EndFailed, "", at(10))
@@ -174,7 +174,7 @@
 	a := newState(t, 1)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Checkpoints: true})
 	vm := attach(a, "vm")
-	for run, how := range []End{EndStopped, EndLapsed, EndBroken, EndAlone, EndLost} {
+	for run, how := range []End{EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost} {
 		a.EndRun(vm, key(1, 0, 0, int64(run+1)), how, "c", at(10))
 	}
 	task := j.Occurrences[0].Steps[0].Tasks[0]
@@ -232,7 +232,7 @@
 	a.AddJob(spec, at(5000), begin)
 	s := a.Jobs[spec.ID].Occurrences[0].Steps[0]
 	vm := attach(a, "vm")
-	a.Apply(vm, Report{Life: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2005), Confirmed: true}}}, begin)
+	a.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2005), Confirmed: true}}}, begin)
 	if got := a.NextNumber(s.Tasks[1]); got != 2001 {
 		t.Errorf("first run has number %d", got)
 	}
@@ -292,7 +292,7 @@
 	if err := next.Restore(jobID(1), value, at(20)); err != nil {
 		t.Fatal(err)
 	}
-	next.Apply(attach(next, "vm"), Report{Life: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndFailed}}}, at(30))
+	next.Apply(attach(next, "vm"), Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndFailed}}}, at(30))
 	if restored.State.Final() {
 		t.Errorf("the job is %s after one failure of two", restored.State)
 	}
@@ -306,14 +306,14 @@
 		a.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconciled, begin)
 	}
 	for _, tt := range []struct{ millis, startable, waiting int }{{1999, 1, 2}, {2000, 2, 1}, {7000, 3, 0}} {
-		waiting := a.Settle(false, at(tt.millis))
+		waiting := a.Reconcile(false, at(tt.millis))
 		if got := len(a.WaitingSteps(at(tt.millis))); got != tt.startable || waiting != tt.waiting {
 			t.Errorf("%d jobs may start and %d wait after %d ms", got, waiting, tt.millis)
 		}
 	}
 	b := newState(t, 2)
 	b.AddJob(&specifier.Job{ID: jobID(1), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, at(7000), begin)
-	if b.Settle(true, at(1)); len(b.WaitingSteps(at(1))) != 1 {
+	if b.Reconcile(true, at(1)); len(b.WaitingSteps(at(1))) != 1 {
 		t.Error("the job waits although every VM has reported")
 	}
 }
--- a/internal/job/accountant/fuzz_test.go
+++ b/internal/job/accountant/fuzz_test.go
@@ -25,7 +25,7 @@
 			t.Fatal("the decoded job is missing")
 		}
 		_ = a.Restore(spec.ID, []byte(progress), at(10))
-		a.Settle(true, at(20))
+		a.Reconcile(true, at(20))
 		a.OpenDue(at(20))
 		for _, s := range a.OpenSteps() {
 			_ = s.Name()
--- a/internal/job/accountant/health.go
+++ b/internal/job/accountant/health.go
@@ -18,7 +18,7 @@
 )
 
 // Quarantined reports whether nothing should start on the VM.
-func (vm *VM) Quarantined(now time.Time) bool { return now.Before(vm.Health.QuarantineTo) }
+func (vm *VM) Quarantined(now time.Time) bool { return now.Before(vm.Health.QuarantinedUntil) }
 
 // probeDuration is how long a run must make progress on a VM that was quarantined
 // before the VM counts as healthy again. On faulty workers tasks fail or stall sooner.
@@ -26,7 +26,7 @@
 
 // OnProbation reports whether the VM was quarantined and has not yet been found healthy
 // again.
-func (vm *VM) OnProbation() bool { return vm.Health.Times > 0 }
+func (vm *VM) OnProbation() bool { return vm.Health.ConsecutiveQuarantines > 0 }
 
 // Probes counts the runs that were ordered since the quarantine. Earlier runs do not
 // count: long-running tasks do not end by themselves, so a VM that waited for them
@@ -34,7 +34,7 @@
 func (vm *VM) Probes() int {
 	n := 0
 	for _, r := range vm.Runs {
-		if !r.OrderedAt.Before(vm.Health.QuarantineTo) {
+		if !r.OrderedAt.Before(vm.Health.QuarantinedUntil) {
 			n++
 		}
 	}
@@ -48,8 +48,8 @@
 		return
 	}
 	for _, r := range vm.Runs {
-		progressing := r.Step().Spec.Lasting && r.Progress >= fullPace || vm.SeenAt.Sub(r.ProgressedAt) < stallGrace
-		if r.State == Running && !r.OrderedAt.Before(vm.Health.QuarantineTo) && vm.SeenAt.Sub(r.StartedAt) >= probeDuration && progressing {
+		progressing := r.Step().Spec.LongRunning && r.Progress >= fullPace || vm.SeenAt.Sub(r.ProgressedAt) < stallGrace
+		if r.State == Running && !r.OrderedAt.Before(vm.Health.QuarantinedUntil) && vm.SeenAt.Sub(r.StartedAt) >= probeDuration && progressing {
 			vm.clearHealth()
 			return
 		}
@@ -106,7 +106,7 @@
 func (vm *VM) stalled() (stalled []*Run, progressing int) {
 	for _, r := range vm.Runs {
 		s := r.Step().Spec
-		if s.Lasting || s.Gang || r.State != Running || r.Pace != fullPace || s.EstimateMillis <= 0 {
+		if s.LongRunning || s.Gang || r.State != Running || r.Pace != fullPace || s.EstimateMillis <= 0 {
 			continue
 		}
 		if vm.SeenAt.Sub(r.ProgressedAt) > stallGrace+time.Duration(stallWorkShare*float64(s.Estimate())/r.cpuShare()) {
@@ -121,7 +121,7 @@
 // cpuShare is the share of the requested processors that a run gets. A best-effort task
 // gets what other tasks leave idle.
 func (r *Run) cpuShare() float64 {
-	if cpu := r.Step().Spec.Needs.CPUMillis; cpu > 0 && r.Step().Spec.Fills {
+	if cpu := r.Step().Spec.Needs.CPUMillis; cpu > 0 && r.Step().Spec.BestEffort {
 		return max(min(float64(r.Measure)/float64(cpu), 1), minCPUShare)
 	}
 	return 1
@@ -143,7 +143,7 @@
 		return
 	}
 	vm := r.VM
-	if elapsed := vm.SeenAt.Sub(r.ProgressedAt); progress > r.Progress && elapsed > 0 && r.Pace == fullPace && !r.Step().Spec.Lasting {
+	if elapsed := vm.SeenAt.Sub(r.ProgressedAt); progress > r.Progress && elapsed > 0 && r.Pace == fullPace && !r.Step().Spec.LongRunning {
 		done := float64(progress-r.Progress) / fullPace * float64(r.Step().Spec.Estimate())
 		sample := min(done/float64(elapsed)/r.cpuShare(), 2)
 		if vm.Speed.Samples == 0 {
@@ -159,9 +159,9 @@
 	if vm.Quarantined(now) {
 		return
 	}
-	duration := min(quarantineFirst<<vm.Health.Times, quarantineMax)
-	vm.Health.Times++
-	vm.Health.Cause, vm.Health.QuarantineTo = cause, now.Add(duration)
+	duration := min(quarantineFirst<<vm.Health.ConsecutiveQuarantines, quarantineMax)
+	vm.Health.ConsecutiveQuarantines++
+	vm.Health.Cause, vm.Health.QuarantinedUntil = cause, now.Add(duration)
 }
 
 func (vm *VM) recordFailure(id specifier.TaskID, now time.Time) {
@@ -173,7 +173,7 @@
 		return // the run was started before the quarantine
 	}
 	// After a quarantine the first failure is enough for the next one.
-	if len(vm.Health.Failed) < failuresToQuarantine && vm.Health.Times == 0 {
+	if len(vm.Health.Failed) < failuresToQuarantine && vm.Health.ConsecutiveQuarantines == 0 {
 		return
 	}
 	vm.quarantine("tasks failed", now)
--- a/internal/job/accountant/health_test.go
+++ b/internal/job/accountant/health_test.go
@@ -18,7 +18,7 @@
 
 // reportProgress applies a report with the same progress for all runs of a VM.
 func reportProgress(a *Accountant, vm *VM, millis, percent int, age time.Duration) {
-	rep := Report{Life: "1", Ready: true, OrdersSeen: 1000, Age: age}
+	rep := Report{Incarnation: "1", Ready: true, OrdersSeen: 1000, Age: age}
 	for k := range vm.Runs {
 		rep.Runs = append(rep.Runs, ReportedRun{Key: k, Confirmed: true, Progress: percent, Measure: 1000})
 	}
@@ -57,7 +57,7 @@
 		{"six times slower", oneSecond, func(ms int) int { return ms / 60 }, 0},
 		{"long tasks", specifier.Step{Count: 1, Needs: oneCore, EstimateMillis: 60_000}, func(ms int) int { return ms / 2000 }, 0},
 		{"no contact with the worker", oneSecond, func(int) int { return 0 }, 3 * time.Second},
-		{"long-running tasks", specifier.Step{Count: 1, Needs: oneCore, EstimateMillis: 300, Lasting: true}, func(int) int { return 100 }, 0},
+		{"long-running tasks", specifier.Step{Count: 1, Needs: oneCore, EstimateMillis: 300, LongRunning: true}, func(int) int { return 100 }, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -110,13 +110,13 @@
 	if !faulty.Quarantined(at(10)) || healthy.Quarantined(at(10)) {
 		t.Errorf("quarantined: %t and %t, want true and false", faulty.Quarantined(at(10)), healthy.Quarantined(at(10)))
 	}
-	first := faulty.Health.QuarantineTo
+	first := faulty.Health.QuarantinedUntil
 	a.EndRun(faulty, key(1, 0, 0, 99), EndFailed, "", first.Add(time.Second))
-	if !faulty.Health.QuarantineTo.After(first) {
+	if !faulty.Health.QuarantinedUntil.After(first) {
 		t.Error("a failure right after the quarantine does not start another")
 	}
-	a.EndRun(faulty, key(1, 0, 0, 100), EndDone, "", faulty.Health.QuarantineTo)
-	if faulty.Health.Times != 0 {
+	a.EndRun(faulty, key(1, 0, 0, 100), EndDone, "", faulty.Health.QuarantinedUntil)
+	if faulty.Health.ConsecutiveQuarantines != 0 {
 		t.Error("a completed task does not clear the health record")
 	}
 }
@@ -127,7 +127,7 @@
 func TestProbationEndsWithLongRunningTasks(t *testing.T) {
 	a := newState(t, 3)
 	vm := attach(a, "vm")
-	longRunning := specifier.Step{Count: 1, Needs: oneCore, Lasting: true}
+	longRunning := specifier.Step{Count: 1, Needs: oneCore, LongRunning: true}
 	runTasks(t, a, vm, 2, longRunning)
 	reportProgress(a, vm, 0, 100, 0)
 	vm.quarantine("tasks failed", begin)
--- a/internal/job/accountant/helpers_test.go
+++ b/internal/job/accountant/helpers_test.go
@@ -38,7 +38,7 @@
 
 // attach opens a session of a VM without runs.
 func attach(a *Accountant, name string) *VM {
-	vm, _ := a.Attach(Facts{Name: name, Zone: "z", Capacity: eightCore}, Report{Life: "1", Ready: true}, begin)
+	vm, _ := a.Attach(VMInfo{Name: name, Zone: "z", Capacity: eightCore}, Report{Incarnation: "1", Ready: true}, begin)
 	return vm
 }
 
--- a/internal/job/accountant/job.go
+++ b/internal/job/accountant/job.go
@@ -14,7 +14,7 @@
 	if a.Jobs[spec.ID] != nil {
 		return false
 	}
-	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, SettlesAt: reconciledAt}
+	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, ReconcileAt: reconciledAt}
 	j.Queue, _ = a.policy.QueueByName(spec.Queue)
 	a.Jobs[spec.ID] = j
 	a.open = nil
@@ -38,7 +38,7 @@
 	if j.Unreadable {
 		return
 	}
-	for !j.State.Final() && j.Next < j.Spec.Times() && j.canOpenNext() && (j.Spec.Occurrences == 0 || !j.Spec.Due(j.Next).After(now)) {
+	for !j.State.Final() && j.Next < j.Spec.OccurrenceCount() && j.canOpenNext() && (j.Spec.Occurrences == 0 || !j.Spec.Due(j.Next).After(now)) {
 		j.Occurrences = append(j.Occurrences, newOccurrence(j, j.Next, now))
 		j.Next++
 	}
@@ -160,7 +160,7 @@
 		}
 	}
 	j.Finished++
-	if j.Finished == j.Spec.Times() && !j.State.Final() {
+	if j.Finished == j.Spec.OccurrenceCount() && !j.State.Final() {
 		a.finish(j, JobDone, now)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	j := t.Step.Occurrence.Job
 	t.NotBefore = now.Add(failureBackoff(len(t.Failed) + 1))
-	if t.Step.Spec.Lasting {
+	if t.Step.Spec.LongRunning {
 		return
 	}
 	t.Failed = append(t.Failed, number)
@@ -208,7 +208,7 @@
 // CopySteps returns the open steps whose tasks may run in several copies, in the same
 // order.
 func (a *Accountant) CopySteps() []*Step {
-	return a.openSteps(func(s *Step) bool { return s.Spec.Copies && !s.Spec.Gang && !s.Spec.Lasting })
+	return a.openSteps(func(s *Step) bool { return s.Spec.Copies && !s.Spec.Gang && !s.Spec.LongRunning })
 }
 
 // OpenSteps returns all steps that are ready but not finished, in the same order.
@@ -216,21 +216,21 @@
 	return a.openSteps(func(*Step) bool { return true })
 }
 
-// Away returns the number of unavailable tasks of a step with long-running tasks.
-func (s *Step) Away() int {
+// Unavailable returns the number of unavailable tasks of a step with long-running tasks.
+func (s *Step) Unavailable() int {
 	n := 0
 	for _, t := range s.Tasks {
-		if t.Away() {
+		if t.Unavailable() {
 			n++
 		}
 	}
 	return n
 }
 
-// Away reports whether a long-running task is unavailable: it has no run, its run is being
+// Unavailable reports whether a long-running task is unavailable: it has no run, its run is being
 // stopped, or its run has not reported progress 100 yet.
-func (t *Task) Away() bool {
-	r := t.Lead()
+func (t *Task) Unavailable() bool {
+	r := t.PrimaryRun()
 	return r == nil || r.State != Running || r.Progress < fullPace
 }
 
@@ -253,8 +253,8 @@
 	return found
 }
 
-// Left returns the share of an occurrence's declared work whose tasks are not done.
-func (o *Occurrence) Left() float64 {
+// RemainingShare returns the share of an occurrence's declared work whose tasks are not done.
+func (o *Occurrence) RemainingShare() float64 {
 	total, left := 0.0, 0.0
 	for _, s := range o.Steps {
 		perTask := s.Spec.CoreSeconds()
--- a/internal/job/accountant/record.go
+++ b/internal/job/accountant/record.go
@@ -101,8 +101,8 @@
 		return fmt.Errorf("unknown state %q", r.State)
 	}
 	hasSteps := j.Spec.Ended == "" // tombstones have no steps and no occurrences
-	if hasSteps && (r.Finished < 0 || r.Next < 0 || r.Next > j.Spec.Times() || r.Finished+len(r.Open) > r.Next) {
-		return fmt.Errorf("inconsistent occurrences: %d finished, %d open, %d opened so far of %d", r.Finished, len(r.Open), r.Next, j.Spec.Times())
+	if hasSteps && (r.Finished < 0 || r.Next < 0 || r.Next > j.Spec.OccurrenceCount() || r.Finished+len(r.Open) > r.Next) {
+		return fmt.Errorf("inconsistent occurrences: %d finished, %d open, %d opened so far of %d", r.Finished, len(r.Open), r.Next, j.Spec.OccurrenceCount())
 	}
 	j.Started = r.State != JobQueued
 	var open []*Occurrence
@@ -134,7 +134,7 @@
 				t.Done = true
 				s.Done++
 			}
-			t.Failed, t.Ran = sr.Failed[n], o.Job.Started
+			t.Failed, t.HasRun = sr.Failed[n], o.Job.Started
 		}
 	}
 	for _, s := range o.Steps {
@@ -173,7 +173,7 @@
 	}
 	for _, vm := range a.VMs {
 		if vm.EndSeen > vm.EndStored {
-			f.acks = append(f.acks, pendingAck{vm, vm.Life, vm.EndSeen})
+			f.acks = append(f.acks, pendingAck{vm, vm.Incarnation, vm.EndSeen})
 		}
 	}
 	return f
@@ -194,15 +194,15 @@
 		return
 	}
 	for _, e := range f.acks {
-		if e.vm.Life == e.incarnation {
+		if e.vm.Incarnation == e.incarnation {
 			e.vm.EndStored = max(e.vm.EndStored, e.seq)
 		}
 	}
 }
 
-// Told returns the state that is reported to callers. A final state is reported only
+// ReportedState returns the state that is reported to callers. A final state is reported only
 // once it is stored, so that it can never be reverted.
-func (j *Job) Told() JobState {
+func (j *Job) ReportedState() JobState {
 	if j.State.Final() && !j.StoredState.Final() {
 		if j.State == JobCancelled {
 			return JobCancelled // the cancellation was stored before it was applied here
@@ -212,16 +212,16 @@
 	return j.State
 }
 
-// Settle marks jobs as reconciled, so that they may start: all of them if every VM has
+// Reconcile marks jobs as reconciled, so that they may start: all of them if every VM has
 // reported, otherwise those for which all runs under earlier owners have certainly ended.
 // It returns how many jobs are left.
-func (a *Accountant) Settle(allReported bool, now time.Time) int {
+func (a *Accountant) Reconcile(allReported bool, now time.Time) int {
 	waiting := 0
 	for _, j := range a.Jobs {
 		switch {
-		case j.SettlesAt.IsZero():
-		case allReported || !now.Before(j.SettlesAt):
-			j.SettlesAt = time.Time{}
+		case j.ReconcileAt.IsZero():
+		case allReported || !now.Before(j.ReconcileAt):
+			j.ReconcileAt = time.Time{}
 		default:
 			waiting++
 		}
@@ -231,11 +231,11 @@
 
 // Startable reports whether new runs of the job's tasks may start.
 func (j *Job) Startable() bool {
-	return !j.State.Final() && j.SettlesAt.IsZero() && !j.Unreadable
+	return !j.State.Final() && j.ReconcileAt.IsZero() && !j.Unreadable
 }
 
-// EncodeRemains returns the tombstone of an ended job in its stored form.
-func (j *Job) EncodeRemains() ([]byte, error) {
+// EncodeTombstone returns the tombstone of an ended job in its stored form.
+func (j *Job) EncodeTombstone() ([]byte, error) {
 	b, err := json.Marshal(j.Spec.Tombstone(string(j.State), j.EndedAt))
 	if err != nil {
 		return nil, fmt.Errorf("encode tombstone of job %s: %w", j.Spec.ID, err)
--- a/internal/job/accountant/record_test.go
+++ b/internal/job/accountant/record_test.go
@@ -17,7 +17,7 @@
 	j := addJob(t, a, 1, specifier.Step{Count: 30, Needs: oneCore, Image: "image"})
 	j.Spec.Payload = strings.Repeat("x", specifier.MaxPayloadBytes)
 	a.Cancel(j.Spec.ID, at(10))
-	tombstone, err := j.EncodeRemains()
+	tombstone, err := j.EncodeTombstone()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	next := newState(t, 2)
 	next.AddJob(spec, time.Time{}, at(20))
 	got := next.Jobs[j.Spec.ID]
-	if got == nil || got.Told() != JobCancelled || got.Startable() || len(next.WaitingSteps(at(20))) != 0 || next.Pending(j.Spec.Queue) != 0 {
+	if got == nil || got.ReportedState() != JobCancelled || got.Startable() || len(next.WaitingSteps(at(20))) != 0 || next.Pending(j.Spec.Queue) != 0 {
 		t.Fatalf("the next owner has %+v", got)
 	}
 	if ids := next.Forget(at(30)); len(ids) != 1 {
--- a/internal/job/accountant/report.go
+++ b/internal/job/accountant/report.go
@@ -6,8 +6,8 @@
 	"bamboospread/internal/job/specifier"
 )
 
-// Facts is an agent's description of its VM.
-type Facts struct {
+// VMInfo is an agent's description of its VM.
+type VMInfo struct {
 	Name, Zone, Rack, Service string
 	WorkerID                  string
 	Labels                    []string
@@ -16,19 +16,19 @@
 
 // Report is an agent's complete report on the runs of its worker.
 type Report struct {
-	Life       string // incarnation of the worker
-	Process    int64  // process of the agent
-	Ready      bool
-	Age        time.Duration // of the data on the runs
-	OrdersSeen int64         // number of orders of this session that the agent has received
-	Runs       []ReportedRun
-	Ends       []ReportedEnd // not yet acknowledged, in ascending order of Seq
-	Doubts     []ReportedDoubt
+	Incarnation       string // incarnation of the worker
+	Process           int64  // process of the agent
+	Ready             bool
+	Age               time.Duration // of the data on the runs
+	OrdersSeen        int64         // number of orders of this session that the agent has received
+	Runs              []ReportedRun
+	Ends              []ReportedEnd // not yet acknowledged, in ascending order of Seq
+	UnconfirmedStarts []UnconfirmedStart
 }
 
-// ReportedDoubt is an unconfirmed start: a start call that was not answered and may still
+// UnconfirmedStart is an unconfirmed start: a start call that was not answered and may still
 // be carried out.
-type ReportedDoubt struct {
+type UnconfirmedStart struct {
 	Key RunKey
 	Age time.Duration // since it was sent
 }
@@ -48,7 +48,7 @@
 type ReportedEnd struct {
 	Seq        int64
 	Key        RunKey
-	How        End
+	Outcome    End
 	Checkpoint string
 }
 
@@ -70,9 +70,9 @@
 // still start.
 func (vm *VM) Idle() bool { return !vm.Ready && len(vm.Runs) == 0 }
 
-// UncertainRuns returns the runs of a VM with unconfirmed starts. They have to be stopped
+// UnconfirmedRuns returns the runs of a VM with unconfirmed starts. They have to be stopped
 // before their tasks may start again, since their starts may still be carried out.
-func (vm *VM) UncertainRuns() []*Run {
+func (vm *VM) UnconfirmedRuns() []*Run {
 	var found []*Run
 	for _, r := range vm.Runs {
 		if r.Unconfirmed {
@@ -84,7 +84,7 @@
 
 // Attach opens a session of a VM's agent. Orders of an earlier session have expired: the
 // agent refuses those that it has not received.
-func (a *Accountant) Attach(f Facts, rep Report, now time.Time) (*VM, Changes) {
+func (a *Accountant) Attach(f VMInfo, rep Report, now time.Time) (*VM, Changes) {
 	vm := a.VMs[f.Name]
 	if vm == nil {
 		vm = &VM{Name: f.Name, Runs: make(map[RunKey]*Run)}
@@ -102,7 +102,7 @@
 			r.Order = orderUnknown
 		}
 	}
-	a.Describe(vm, f)
+	a.UpdateInfo(vm, f)
 	rep.OrdersSeen = 0
 	return vm, a.Apply(vm, rep, now)
 }
@@ -112,7 +112,7 @@
 // was not lost, the report that opens the next session lists the run as stopping.
 func (r *Run) resetOrders() {
 	r.Order, r.StopOrder = 0, 0
-	if r.Step().Spec.Fills {
+	if r.Step().Spec.BestEffort {
 		r.Pace = PaceUnknown
 	}
 }
@@ -121,12 +121,12 @@
 // move or a yield, is cleared with it.
 func (r *Run) clearStop() {
 	r.State, r.StopCause = Running, ""
-	r.Task.Moves, r.Task.Yielded = Moving{}, false
+	r.Task.Relocation, r.Task.Yielded = Relocation{}, false
 	if r.StartedAt.IsZero() {
 		r.State = Ordered
 	}
 	if !r.unwanted() {
-		r.StoppedAt, r.StopTold = time.Time{}, false
+		r.StoppedAt, r.OverdueReported = time.Time{}, false
 	}
 }
 
@@ -149,9 +149,9 @@
 	}
 }
 
-// Describe records an agent's description of its VM. Another incarnation of the worker may
+// UpdateInfo records an agent's description of its VM. Another incarnation of the worker may
 // have another ID and run on another kind of VM.
-func (a *Accountant) Describe(vm *VM, f Facts) {
+func (a *Accountant) UpdateInfo(vm *VM, f VMInfo) {
 	vm.Zone, vm.Rack, vm.Service, vm.Capacity, vm.WorkerID = f.Zone, f.Rack, f.Service, f.Capacity, f.WorkerID
 	vm.Labels = make(map[string]bool, len(f.Labels))
 	for _, l := range f.Labels {
@@ -170,9 +170,9 @@
 	for _, r := range rep.Runs {
 		listed[r.Key] = true
 	}
-	if vm.Life != rep.Life {
+	if vm.Incarnation != rep.Incarnation {
 		vm.releaseUnconfirmedRuns(now)
-		vm.Life, vm.EndSeen, vm.EndStored, vm.Health, vm.Harm, vm.Speed = rep.Life, 0, 0, Health{}, Harm{}, Speed{}
+		vm.Incarnation, vm.EndSeen, vm.EndStored, vm.Health, vm.Throttle, vm.Speed = rep.Incarnation, 0, 0, Health{}, ThrottleState{}, Speed{}
 	}
 	vm.Version++
 	vm.Ready, vm.GrantedAt, vm.SeenAt = rep.Ready, now, now.Add(-rep.Age)
@@ -180,7 +180,7 @@
 	for _, e := range rep.Ends {
 		if e.Seq > vm.EndSeen {
 			vm.EndSeen = e.Seq
-			a.EndRun(vm, e.Key, e.How, e.Checkpoint, now)
+			a.EndRun(vm, e.Key, e.Outcome, e.Checkpoint, now)
 			c.Ended = append(c.Ended, e)
 		}
 	}
--- a/internal/job/accountant/report_test.go
+++ b/internal/job/accountant/report_test.go
@@ -27,8 +27,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			a := newState(t, 2)
 			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-			report := Report{Life: "1", Process: 1, Ready: true}
-			vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+			report := Report{Incarnation: "1", Process: 1, Ready: true}
+			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 			task := j.Occurrences[0].Steps[0].Tasks[0]
 			a.Place(task, vm, 1, begin)
 			if tt.seen {
@@ -38,12 +38,12 @@
 			}
 			report.Process = tt.process
 			for range 2 { // the connection breaks before the stop has arrived
-				a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(10))
+				a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 			}
 			if got := len(task.Runs) == 1; got != tt.kept {
 				t.Fatalf("the run is kept: %t, want %t", got, tt.kept)
 			}
-			unconfirmed := vm.UncertainRuns()
+			unconfirmed := vm.UnconfirmedRuns()
 			if got := len(unconfirmed) == 1; got != tt.kept {
 				t.Fatalf("%d runs are to be stopped", len(unconfirmed))
 			}
@@ -56,7 +56,7 @@
 				t.Fatal("the run is removed before the agent has received the stop")
 			}
 			report.OrdersSeen, report.Runs = order, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-			if a.Apply(vm, report, at(30)); len(task.Runs) != 1 || len(vm.UncertainRuns()) != 0 {
+			if a.Apply(vm, report, at(30)); len(task.Runs) != 1 || len(vm.UnconfirmedRuns()) != 0 {
 				t.Fatal("the run is removed or still unconfirmed while the agent is stopping it")
 			}
 			report.Runs = nil
@@ -72,9 +72,9 @@
 // the run. The owner must decide the stop again, since nothing else does.
 func TestStopRepeatedInNewSession(t *testing.T) {
 	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
-	report := Report{Life: "1", Process: 1, Ready: true}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	report := Report{Incarnation: "1", Process: 1, Ready: true}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
 	report.OrdersSeen, report.Runs = 1, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
 	a.Apply(vm, report, at(5))
@@ -85,7 +85,7 @@
 	if got := len(a.Unwanted()); got != 0 {
 		t.Fatalf("%d stops would be ordered twice in one session", got)
 	}
-	a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(20))
+	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(20))
 	if got := len(a.Unwanted()); got != 1 {
 		t.Errorf("%d runs are to be stopped in the new session, want 1", got)
 	}
@@ -97,15 +97,15 @@
 // broken session was carried out.
 func TestAdoptedRunHasUnknownPace(t *testing.T) {
 	a := newState(t, 2)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Fills: true})
-	report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, BestEffort: true})
+	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	run := vm.Runs[key(1, 0, 0, 1)]
 	if run.Pace != PaceUnknown {
 		t.Errorf("an adopted run has pace %d", run.Pace)
 	}
 	run.Pace = 15
-	a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(10))
+	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 	if run.Pace != PaceUnknown {
 		t.Errorf("in a new session the run has pace %d", run.Pace)
 	}
@@ -119,9 +119,9 @@
 	a := newState(t, 2)
 	ended := specifier.Job{ID: jobID(1), Queue: "q", Ended: string(JobCancelled)}
 	a.AddJob(&ended, time.Time{}, begin)
-	report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 1, 2), Confirmed: true}}}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
-	if vm.Sized() {
+	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 1, 2), Confirmed: true}}}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	if vm.SizesKnown() {
 		t.Error("the VM counts as having only runs of known size")
 	}
 	if got := len(a.Unwanted()); got != 1 {
@@ -129,12 +129,12 @@
 	}
 	report.Runs = nil
 	a.Apply(vm, report, at(10))
-	if !vm.Sized() {
+	if !vm.SizesKnown() {
 		t.Error("the VM counts as having a run of unknown size after the run has ended")
 	}
 	report.Runs = []ReportedRun{{Key: key(2, 0, 0, 1), Confirmed: true, Needs: oneCore}}
 	a.Apply(vm, report, at(20))
-	if !vm.Sized() || vm.Committed != oneCore {
+	if !vm.SizesKnown() || vm.Committed != oneCore {
 		t.Errorf("%+v is committed for a run of the size %+v", vm.Committed, oneCore)
 	}
 }
@@ -152,17 +152,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
+			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 			task := j.Occurrences[0].Steps[0].Tasks[0]
-			report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
+			report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
 			if tt.ordered {
-				vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+				vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 				a.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
 			}
 			report.Runs[0].Stopping = true
-			a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(10))
-			if got := task.Runs[0].State; got != Stopping || !task.Away() {
-				t.Errorf("the run is %s, unavailable: %t", got, task.Away())
+			a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+			if got := task.Runs[0].State; got != Stopping || !task.Unavailable() {
+				t.Errorf("the run is %s, unavailable: %t", got, task.Unavailable())
 			}
 		})
 	}
@@ -172,9 +172,9 @@
 // to be carried out.
 func TestIgnoredStopIsOrderedAgain(t *testing.T) {
 	a := newState(t, 2)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
-	report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	a.Cancel(jobID(1), at(10))
 	order := a.Stop(a.Unwanted()[0], "job ended", at(10))
 	report.OrdersSeen = order - 1
@@ -205,16 +205,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
+			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 			task := j.Occurrences[0].Steps[0].Tasks[0]
-			report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
-			vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
-			task.Yielded, task.Moves = true, Moving{To: "other", Until: at(1000)}
+			report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
+			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+			task.Yielded, task.Relocation = true, Relocation{To: "other", Until: at(1000)}
 			a.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
 			report.Runs[0].Stopping = tt.stopping
-			a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(10))
-			if got := task.Yielded && task.Waiting("vm", at(20)); got != tt.stopping {
-				t.Errorf("yielded: %t, moving to %q", task.Yielded, task.Moves.To)
+			a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+			if got := task.Yielded && task.MovesElsewhere("vm", at(20)); got != tt.stopping {
+				t.Errorf("yielded: %t, moving to %q", task.Yielded, task.Relocation.To)
 			}
 		})
 	}
@@ -224,17 +224,17 @@
 // finds the run at its worker, and then a new incarnation of the worker starts.
 func TestRunFoundByRestartedAgentIsLostWithWorker(t *testing.T) {
 	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
+	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 	task := j.Occurrences[0].Steps[0].Tasks[0]
-	report := Report{Life: "1", Process: 1, Ready: true}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, begin)
+	report := Report{Incarnation: "1", Process: 1, Ready: true}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	a.Place(task, vm, 1, begin)
 	report.Process, report.Runs = 2, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-	a.Attach(Facts{Name: "vm", Capacity: oneCore}, report, at(10))
-	if len(task.Runs) != 1 || len(vm.UncertainRuns()) != 0 {
+	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+	if len(task.Runs) != 1 || len(vm.UnconfirmedRuns()) != 0 {
 		t.Fatal("the run that the agent lists does not count as confirmed")
 	}
-	report.Life, report.Runs = "2", nil
+	report.Incarnation, report.Runs = "2", nil
 	if a.Apply(vm, report, at(1000)); len(task.Runs) != 0 {
 		t.Errorf("the run of the earlier incarnation is still %s, and its task never starts again", task.Runs[0].State)
 	}
@@ -245,13 +245,13 @@
 // the active run.
 func TestStoppingRunDoesNotReplaceActiveRun(t *testing.T) {
 	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Lasting: true})
-	a.Attach(Facts{Name: "vm-b", Capacity: oneCore}, Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Stopping: true, Confirmed: true}}}, begin)
-	a.Attach(Facts{Name: "vm-a", Capacity: oneCore}, Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2), Confirmed: true, Progress: 100}}}, at(5))
+	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	a.Attach(VMInfo{Name: "vm-b", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Stopping: true, Confirmed: true}}}, begin)
+	a.Attach(VMInfo{Name: "vm-a", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2), Confirmed: true, Progress: 100}}}, at(5))
 	for _, r := range a.Unwanted() {
 		t.Errorf("run %d on %s is to be stopped", r.Number, r.VM.Name)
 	}
-	if j.Occurrences[0].Steps[0].Tasks[0].Away() {
+	if j.Occurrences[0].Steps[0].Tasks[0].Unavailable() {
 		t.Error("the task counts as unavailable although one of its runs is active")
 	}
 }
@@ -263,7 +263,7 @@
 	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
 	vm := attach(a, "vm")
 	run := a.Place(a.Find(task(1, 0, 0)), vm, 1, at(0))
-	listed := Report{Life: "1", Ready: true, Runs: []ReportedRun{{Key: run.Key(), Confirmed: true}}}
+	listed := Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: run.Key(), Confirmed: true}}}
 	listed.OrdersSeen = a.Stop(run, "moves", at(10))
 	a.Apply(vm, listed, at(20)) // the agent has received the order and does not list the run as stopping
 	a.Apply(vm, listed, at(5000))
--- a/internal/job/accountant/run.go
+++ b/internal/job/accountant/run.go
@@ -27,19 +27,19 @@
 	t, spec := r.Task, r.Task.Step.Spec
 	t.LastNumber = max(t.LastNumber, r.Number)
 	t.Runs = append(t.Runs, r)
-	t.Yielded, t.Ran = false, true
+	t.Yielded, t.HasRun = false, true
 	r.VM.Runs[r.Key()] = r
 	r.VM.Version++
 	if r.SizeUnknown {
 		r.VM.unknownSizeRuns++
 	}
 	r.VM.Committed = r.VM.Committed.Add(spec.Committed())
-	if spec.Fills {
-		r.VM.FillCPU += spec.Needs.CPUMillis
+	if spec.BestEffort {
+		r.VM.BestEffortCPU += spec.Needs.CPUMillis
 	}
-	if spec.Lasting {
-		r.VM.Lasting++
-		r.VM.LastCPU += spec.Needs.CPUMillis
+	if spec.LongRunning {
+		r.VM.LongRunning++
+		r.VM.LongRunningCPU += spec.Needs.CPUMillis
 	}
 }
 
@@ -82,12 +82,12 @@
 		r.VM.unknownSizeRuns--
 	}
 	r.VM.Committed = r.VM.Committed.Sub(spec.Committed())
-	if spec.Fills {
-		r.VM.FillCPU -= spec.Needs.CPUMillis
+	if spec.BestEffort {
+		r.VM.BestEffortCPU -= spec.Needs.CPUMillis
 	}
-	if spec.Lasting {
-		r.VM.Lasting--
-		r.VM.LastCPU -= spec.Needs.CPUMillis
+	if spec.LongRunning {
+		r.VM.LongRunning--
+		r.VM.LongRunningCPU -= spec.Needs.CPUMillis
 	}
 	for i, other := range t.Runs {
 		if other == r {
@@ -145,12 +145,12 @@
 		return true
 	}
 	// A task has two runs when a VM reconnects with a run that had counted as lost.
-	return !t.Step.Spec.Copies && t.Lead() != r
+	return !t.Step.Spec.Copies && t.PrimaryRun() != r
 }
 
-// Lead returns the run of a task that is kept if only one is allowed: the first that is
+// PrimaryRun returns the run of a task that is kept if only one is allowed: the first that is
 // not being stopped, otherwise the first. It returns nil if there is none.
-func (t *Task) Lead() *Run {
+func (t *Task) PrimaryRun() *Run {
 	for _, r := range t.Runs {
 		if r.State != Stopping {
 			return r
@@ -167,13 +167,13 @@
 
 // Ways in which a run ends.
 const (
-	EndDone    End = "done"
-	EndFailed  End = "failed"  // through a fault of the task or of the worker
-	EndStopped End = "stopped" // by an order
-	EndLapsed  End = "lapsed"  // its lease expired
-	EndBroken  End = "broken"  // another member of its gang ended
-	EndAlone   End = "alone"   // the other members of its gang did not start
-	EndLost    End = "lost"    // the VM or the worker lost it without reporting an end
+	EndDone           End = "done"
+	EndFailed         End = "failed"  // through a fault of the task or of the worker
+	EndStopped        End = "stopped" // by an order
+	EndLapsed         End = "lapsed"  // its lease expired
+	EndGangBroken     End = "broken"  // another member of its gang ended
+	EndGangIncomplete End = "alone"   // the other members of its gang did not start
+	EndLost           End = "lost"    // the VM or the worker lost it without reporting an end
 )
 
 // EndRun applies the end of a run. The run need not be known.
@@ -197,9 +197,9 @@
 		t.Checkpoint = checkpoint
 	}
 	if how != EndStopped {
-		t.Moves = Moving{}
-	} else if t.Moves.Hold > 0 {
-		t.Moves.Until = now.Add(t.Moves.Hold)
+		t.Relocation = Relocation{}
+	} else if t.Relocation.Hold > 0 {
+		t.Relocation.Until = now.Add(t.Relocation.Hold)
 	}
 	switch how {
 	case EndDone:
@@ -210,20 +210,20 @@
 		vm.recordFailure(key.Task, now)
 		t.recordFailedOn(vm.Name)
 		a.taskFailed(t, key.Number, now)
-	case EndStopped, EndLapsed, EndBroken, EndAlone, EndLost:
+	case EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost:
 	}
 }
 
 func (t *Task) recordFailedOn(vm string) {
-	if t.Shunned == nil {
-		t.Shunned = make(map[string]bool)
+	if t.AvoidedVMs == nil {
+		t.AvoidedVMs = make(map[string]bool)
 	}
-	t.Shunned[vm] = true
+	t.AvoidedVMs[vm] = true
 }
 
-// Lose removes all runs of a VM: a new incarnation of its worker has started, or its
+// DropRuns removes all runs of a VM: a new incarnation of its worker has started, or its
 // leases have certainly expired. The tasks wait again, to resume from their last checkpoint.
-func (a *Accountant) Lose(vm *VM, now time.Time) []*Run {
+func (a *Accountant) DropRuns(vm *VM, now time.Time) []*Run {
 	var lost []*Run
 	for _, r := range vm.Runs {
 		lost = append(lost, r)
@@ -256,7 +256,7 @@
 		t = newOrphanTask(rep.Key.Task, rep.Needs)
 		r.Task, r.SizeUnknown = t, rep.Needs == specifier.Resources{}
 	}
-	if t.Step.Spec.Fills {
+	if t.Step.Spec.BestEffort {
 		r.Pace = PaceUnknown // an earlier owner may have throttled it
 	}
 	a.addRun(r)
--- a/internal/job/accountant/runtimes.go
+++ b/internal/job/accountant/runtimes.go
@@ -8,14 +8,14 @@
 	maxRuntimeRatio          = 8.0  // of one run: a run that stalled says little about the others
 )
 
-// Stretch returns the mean ratio of measured to declared run times of a queue, at least 1.
-func (a *Accountant) Stretch(queue string) float64 { return max(a.runtimeRatios[queue], 1) }
+// RuntimeRatio returns the mean ratio of measured to declared run times of a queue, at least 1.
+func (a *Accountant) RuntimeRatio(queue string) float64 { return max(a.runtimeRatios[queue], 1) }
 
 // recordRuntime adds the run time of a completed run to the mean of its queue. Only runs that
 // this owner saw from their start count, not those that were resumed or adopted.
 func (a *Accountant) recordRuntime(r *Run, now time.Time) {
 	s := r.Step().Spec
-	if s.Lasting || s.Gang || s.EstimateMillis <= 0 || r.StartedAt.IsZero() || r.Resumed {
+	if s.LongRunning || s.Gang || s.EstimateMillis <= 0 || r.StartedAt.IsZero() || r.Resumed {
 		return
 	}
 	queue := r.Step().Occurrence.Job.Spec.Queue
--- a/internal/job/accountant/started_test.go
+++ b/internal/job/accountant/started_test.go
@@ -10,7 +10,7 @@
 // that was never carried out.
 func TestJobStartsWithFirstConfirmedRun(t *testing.T) {
 	listed := func(confirmed, stopping bool) Report {
-		return Report{Life: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: confirmed, Stopping: stopping}}}
+		return Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: confirmed, Stopping: stopping}}}
 	}
 	tests := []struct {
 		name    string
@@ -18,15 +18,15 @@
 		report  Report
 		started bool
 	}{
-		{"ordered", true, Report{Life: "1", Ready: true}, false},
+		{"ordered", true, Report{Incarnation: "1", Ready: true}, false},
 		{"unconfirmed", true, listed(false, false), false},
 		{"unconfirmed, being stopped", true, listed(false, true), false},
 		{"unconfirmed, ordered by an earlier owner", false, listed(false, true), false},
-		{"not listed", true, Report{Life: "1", Ready: true, OrdersSeen: 1}, false},
+		{"not listed", true, Report{Incarnation: "1", Ready: true, OrdersSeen: 1}, false},
 		{"confirmed", true, listed(true, false), true},
 		{"confirmed while being stopped", true, listed(true, true), true},
 		{"confirmed, ordered by an earlier owner", false, listed(true, false), true},
-		{"ended before it was confirmed", true, Report{Life: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), How: EndFailed}}}, true},
+		{"ended before it was confirmed", true, Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndFailed}}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -41,8 +41,8 @@
 			if tt.started {
 				pending, state = 0, JobRunning
 			}
-			if got := a.Pending("q"); got != pending || j.Told() != state {
-				t.Errorf("%d jobs wait and the job is %s, want %d and %s", got, j.Told(), pending, state)
+			if got := a.Pending("q"); got != pending || j.ReportedState() != state {
+				t.Errorf("%d jobs wait and the job is %s, want %d and %s", got, j.ReportedState(), pending, state)
 			}
 		})
 	}
@@ -53,10 +53,10 @@
 func TestUnconfirmedRunIsAdoptedAsUnconfirmed(t *testing.T) {
 	a := newState(t, 3)
 	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	report := Report{Life: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}
-	vm, _ := a.Attach(Facts{Name: "vm", Capacity: eightCore}, report, at(0))
-	a.Attach(Facts{Name: "vm", Capacity: eightCore}, Report{Life: "1", Process: 2, Ready: true}, at(10))
-	if got := len(vm.UncertainRuns()); got != 1 {
+	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}
+	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, report, at(0))
+	a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 2, Ready: true}, at(10))
+	if got := len(vm.UnconfirmedRuns()); got != 1 {
 		t.Errorf("%d runs are unconfirmed, want 1", got)
 	}
 }
--- a/internal/job/accountant/state.go
+++ b/internal/job/accountant/state.go
@@ -26,26 +26,26 @@
 
 // Run is one start of a task on a VM.
 type Run struct {
-	Task         *Task
-	Number       int64 // increases with each start of the task
-	VM           *VM
-	State        RunState
-	Order        int64 // number of the order that started it, 0 if it was adopted
-	OrderedAt    time.Time
-	StartedAt    time.Time // when it was first reported as running
-	Progress     int       // percent of its work, as last reported; for a long-running task, 100 once it is doing its work
-	Pace         int       // percent of full speed, as last ordered; PaceUnknown if an order may have been lost
-	PacedAt      time.Time // when it was last ordered to leave full speed or to return to it
-	Measure      int64     // tail latency in ms for a long-running task with a target, otherwise thousandths of a core in use
-	StopCause    string
-	StopOrder    int64     // number of the latest stop order, 0 if none was given in this session
-	StoppedAt    time.Time // when the current stop was first ordered; zero: it is not to be stopped
-	StopTold     bool      // the stop was reported as overdue
-	SizeUnknown  bool      // its resources are not known: its job has ended and its steps were not kept
-	Unconfirmed  bool      // ordered through an agent process that has ended, and listed by no later process
-	Checkpoint   string    // latest reported
-	Resumed      bool      // from a checkpoint of an earlier run, or started under another owner
-	ProgressedAt time.Time // when the progress last changed
+	Task            *Task
+	Number          int64 // increases with each start of the task
+	VM              *VM
+	State           RunState
+	Order           int64 // number of the order that started it, 0 if it was adopted
+	OrderedAt       time.Time
+	StartedAt       time.Time // when it was first reported as running
+	Progress        int       // percent of its work, as last reported; for a long-running task, 100 once it is doing its work
+	Pace            int       // percent of full speed, as last ordered; PaceUnknown if an order may have been lost
+	PacedAt         time.Time // when it was last ordered to leave full speed or to return to it
+	Measure         int64     // tail latency in ms for a long-running task with a target, otherwise thousandths of a core in use
+	StopCause       string
+	StopOrder       int64     // number of the latest stop order, 0 if none was given in this session
+	StoppedAt       time.Time // when the current stop was first ordered; zero: it is not to be stopped
+	OverdueReported bool      // the stop was reported as overdue
+	SizeUnknown     bool      // its resources are not known: its job has ended and its steps were not kept
+	Unconfirmed     bool      // ordered through an agent process that has ended, and listed by no later process
+	Checkpoint      string    // latest reported
+	Resumed         bool      // from a checkpoint of an earlier run, or started under another owner
+	ProgressedAt    time.Time // when the progress last changed
 }
 
 // Key returns the key that identifies the run in reports.
@@ -75,28 +75,28 @@
 	Done       bool
 	Failed     []int64 // numbers of the failed runs
 	LastNumber int64   // number of its latest run, 0 if this owner knows of none
-	Ran        bool    // it has had a run, or may have had one under an earlier owner
+	HasRun     bool    // it has had a run, or may have had one under an earlier owner
 	Checkpoint string  // to resume from
 	Runs       []*Run  // runs that have not ended; more than one only if copies are allowed
 	WaitSince  time.Time
 	NotBefore  time.Time       // earliest restart after a failure
-	Shunned    map[string]bool // VMs on which a run of it failed or was refused
-	Moves      Moving          // zero: it is not being moved
+	AvoidedVMs map[string]bool // VMs on which a run of it failed or was refused
+	Relocation Relocation      // zero: it is not being moved
 	Yielded    bool            // long-running task that was stopped to free capacity for urgent ones
 }
 
-// Moving describes the move of a long-running task: the VM on which it was stopped, if any,
+// Relocation describes the move of a long-running task: the VM on which it was stopped, if any,
 // and the one on which it is to restart.
-type Moving struct {
+type Relocation struct {
 	From, To string        // VMs
 	For      *Step         // step that gets the freed capacity; nil: best-effort tasks
 	Hold     time.Duration // how long capacity is held for it on To once its run has ended
 	Until    time.Time     // until then it may start only on To
 }
 
-// SetMove records the move of a task that is stopped to be restarted elsewhere.
-func (a *Accountant) SetMove(t *Task, m Moving, now time.Time) {
-	t.Moves = m
+// SetRelocation records the move of a task that is stopped to be restarted elsewhere.
+func (a *Accountant) SetRelocation(t *Task, m Relocation, now time.Time) {
+	t.Relocation = m
 	a.moving = append(slices.DeleteFunc(a.moving, func(t *Task) bool { return !t.Moving(now) }), t)
 }
 
@@ -104,7 +104,7 @@
 func (a *Accountant) MovingTasks(now time.Time) []*Task {
 	var found []*Task
 	for _, t := range a.moving {
-		if t.Moving(now) && t.Step.Occurrence.Job.Startable() && !t.RunsOn(a.VMs[t.Moves.To]) {
+		if t.Moving(now) && t.Step.Occurrence.Job.Startable() && !t.RunsOn(a.VMs[t.Relocation.To]) {
 			found = append(found, t)
 		}
 	}
@@ -113,16 +113,16 @@
 
 // Moving reports whether capacity is held for the task on the VM that it moves to.
 func (t *Task) Moving(now time.Time) bool {
-	if t.Moves.To == "" {
+	if t.Relocation.To == "" {
 		return false
 	}
-	r := t.Lead()
-	return now.Before(t.Moves.Until) || r != nil && r.State == Stopping
+	r := t.PrimaryRun()
+	return now.Before(t.Relocation.Until) || r != nil && r.State == Stopping
 }
 
-// Waiting reports whether the task must not start on a VM because it moves to another.
-func (t *Task) Waiting(vm string, now time.Time) bool {
-	return t.Moving(now) && t.Moves.To != vm
+// MovesElsewhere reports whether the task must not start on a VM because it moves to another.
+func (t *Task) MovesElsewhere(vm string, now time.Time) bool {
+	return t.Moving(now) && t.Relocation.To != vm
 }
 
 // ID returns the ID of the task.
@@ -153,15 +153,15 @@
 
 // Ticket permits tasks of a step to start on a VM.
 type Ticket struct {
-	Text  string
-	Life  string // the only incarnation of the worker for which it is valid
-	Until time.Time
+	Text        string
+	Incarnation string // the only incarnation of the worker for which it is valid
+	Until       time.Time
 }
 
 // TicketFor returns the ticket that is valid for a VM now.
 func (s *Step) TicketFor(vm *VM, now time.Time) (string, bool) {
 	t, ok := s.Tickets[vm.Name]
-	return t.Text, ok && t.Life == vm.Life && now.Before(t.Until)
+	return t.Text, ok && t.Incarnation == vm.Incarnation && now.Before(t.Until)
 }
 
 // Finished reports whether all tasks are done.
@@ -221,13 +221,13 @@
 	State       JobState
 	StoredState JobState // as stored; callers get no final state before it is stored
 	EndedAt     time.Time
-	// SettlesAt is when all runs of its tasks under earlier owners have certainly ended.
+	// ReconcileAt is when all runs of its tasks under earlier owners have certainly ended.
 	// Until then a task without a known run may be running on a VM that has not
 	// reported. Zero: all its runs are known.
-	SettlesAt  time.Time
-	Unreadable bool // its stored progress can't be read, so none of its tasks may start
-	dirty      bool // its progress is not stored yet
-	inFlight   bool // a write of its progress is in flight
+	ReconcileAt time.Time
+	Unreadable  bool // its stored progress can't be read, so none of its tasks may start
+	dirty       bool // its progress is not stored yet
+	inFlight    bool // a write of its progress is in flight
 }
 
 // VM is a VM with its worker.
@@ -239,7 +239,7 @@
 	Service           string
 	WorkerID          string // ID of the worker for advising services
 	Capacity          specifier.Resources
-	Life              string // incarnation of the worker; a new one knows nothing of earlier ones
+	Incarnation       string // incarnation of the worker; a new one knows nothing of earlier ones
 	Ready             bool   // the worker accepts new tasks
 	Attached          bool   // its agent has a session and has reported its runs
 	Process           int64  // process of its agent
@@ -247,9 +247,9 @@
 	EndSeen           int64  // highest applied end of this incarnation
 	EndStored         int64  // highest stored end of this incarnation
 	Committed         specifier.Resources
-	FillCPU           int64 // thousandths of a core that best-effort tasks would use
-	Lasting           int   // number of its runs of long-running tasks
-	LastCPU           int64 // thousandths of a core that they declare
+	BestEffortCPU     int64 // thousandths of a core that best-effort tasks would use
+	LongRunning       int   // number of its runs of long-running tasks
+	LongRunningCPU    int64 // thousandths of a core that they declare
 	Runs              map[RunKey]*Run
 	unknownSizeRuns   int // number of its runs of unknown size
 	unconfirmedStarts map[RunKey]unconfirmedStart
@@ -259,16 +259,16 @@
 	GrantedAt time.Time
 	SeenAt    time.Time // when the worker provided the data of the latest report
 	Speed     Speed
-	Harm      Harm
+	Throttle  ThrottleState
 	Health    Health
 }
 
-// Sized reports whether the resources of all runs on the VM are known.
-func (vm *VM) Sized() bool { return vm.unknownSizeRuns == 0 }
+// SizesKnown reports whether the resources of all runs on the VM are known.
+func (vm *VM) SizesKnown() bool { return vm.unknownSizeRuns == 0 }
 
-// Harm records the interference with the long-running tasks of a VM: since when they
+// ThrottleState records the interference with the long-running tasks of a VM: since when they
 // have been over or under their latency targets.
-type Harm struct {
+type ThrottleState struct {
 	OverSince  time.Time // zero: none is over its target
 	UnderSince time.Time // zero: at least one is over its target
 	Percent    int       // highest pace allowed to the best-effort tasks; 0: stopped
@@ -283,10 +283,10 @@
 
 // Health is the health record of a VM's worker.
 type Health struct {
-	Failed       map[specifier.TaskID]time.Time // tasks that failed on it since its last success
-	QuarantineTo time.Time                      // end of the quarantine
-	Cause        string                         // of the quarantine
-	Times        int                            // number of consecutive quarantines
+	Failed                 map[specifier.TaskID]time.Time // tasks that failed on it since its last success
+	QuarantinedUntil       time.Time                      // end of the quarantine
+	Cause                  string                         // of the quarantine
+	ConsecutiveQuarantines int                            // number of consecutive quarantines
 }
 
 // Accountant is the state of a cell.
--- a/internal/job/accountant/unconfirmed.go
+++ b/internal/job/accountant/unconfirmed.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// DoubtLife is how long after a start call was sent without an answer the start may still be
+// UnconfirmedStartMaxAge is how long after a start call was sent without an answer the start may still be
 // carried out. The users' platform documents a maximum of 12 s.
-const DoubtLife = 15 * time.Second
+const UnconfirmedStartMaxAge = 15 * time.Second
 
 // unconfirmedStart is a start call that was not answered. It does not reserve the task; the
 // run does, for as long as it is counted on the VM.
@@ -18,11 +18,11 @@
 // the worker.
 func (vm *VM) applyUnconfirmedStarts(rep Report, now time.Time) {
 	for key, u := range vm.unconfirmedStarts {
-		if u.process == rep.Process || now.Sub(u.sentAt) >= DoubtLife {
+		if u.process == rep.Process || now.Sub(u.sentAt) >= UnconfirmedStartMaxAge {
 			delete(vm.unconfirmedStarts, key)
 		}
 	}
-	for _, d := range rep.Doubts {
+	for _, d := range rep.UnconfirmedStarts {
 		vm.recordUnconfirmedStart(d.Key, unconfirmedStart{sentAt: now.Add(-d.Age), process: rep.Process})
 	}
 }
@@ -47,12 +47,12 @@
 	vm.unconfirmedStarts[key] = u
 }
 
-// Inherited returns the unconfirmed starts of earlier processes of the VM's agent.
-func (vm *VM) Inherited(now time.Time) []ReportedDoubt {
-	var all []ReportedDoubt
+// InheritedStarts returns the unconfirmed starts of earlier processes of the VM's agent.
+func (vm *VM) InheritedStarts(now time.Time) []UnconfirmedStart {
+	var all []UnconfirmedStart
 	for key, u := range vm.unconfirmedStarts {
 		if u.process != vm.Process {
-			all = append(all, ReportedDoubt{Key: key, Age: now.Sub(u.sentAt)})
+			all = append(all, UnconfirmedStart{Key: key, Age: now.Sub(u.sentAt)})
 		}
 	}
 	return all
--- a/internal/job/accountant/unconfirmed_test.go
+++ b/internal/job/accountant/unconfirmed_test.go
@@ -10,19 +10,19 @@
 // Guards against unconfirmed starts that are lost with the agent process that sent them: the
 // next incarnation of the worker may receive them while the new process does not know them.
 func TestUnconfirmedStartsSurviveAgentRestart(t *testing.T) {
-	start := []ReportedDoubt{{Key: key(1, 0, 0, 1), Age: time.Second}}
+	start := []UnconfirmedStart{{Key: key(1, 0, 0, 1), Age: time.Second}}
 	tests := []struct {
 		name    string
 		reports []Report // one a second
 		want    int      // unconfirmed starts that have to be passed to the last process
 	}{
-		{"the process that reported it", []Report{{Process: 1, Doubts: start}, {Process: 1, Doubts: start}}, 0},
-		{"the next process", []Report{{Process: 1, Doubts: start}, {Process: 2}}, 1},
-		{"the process after the next", []Report{{Process: 1, Doubts: start}, {Process: 2}, {Process: 3}}, 1},
-		{"the next process reports it", []Report{{Process: 1, Doubts: start}, {Process: 2}, {Process: 2, Doubts: start}}, 0},
-		{"it is no longer reported", []Report{{Process: 1, Doubts: start}, {Process: 1}, {Process: 2}}, 0},
-		{"its run has ended", []Report{{Process: 1, Doubts: start}, {Process: 2, Ends: []ReportedEnd{{Seq: 1, Key: start[0].Key, How: EndDone}}}, {Process: 2}}, 0},
-		{"a new incarnation of the worker", []Report{{Process: 1, Doubts: start}, {Process: 2, Life: "2"}}, 1},
+		{"the process that reported it", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 1, UnconfirmedStarts: start}}, 0},
+		{"the next process", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 2}}, 1},
+		{"the process after the next", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 2}, {Process: 3}}, 1},
+		{"the next process reports it", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 2}, {Process: 2, UnconfirmedStarts: start}}, 0},
+		{"it is no longer reported", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 1}, {Process: 2}}, 0},
+		{"its run has ended", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 2, Ends: []ReportedEnd{{Seq: 1, Key: start[0].Key, Outcome: EndDone}}}, {Process: 2}}, 0},
+		{"a new incarnation of the worker", []Report{{Process: 1, UnconfirmedStarts: start}, {Process: 2, Incarnation: "2"}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -31,25 +31,25 @@
 			now := begin
 			for _, r := range tt.reports {
 				now = now.Add(time.Second)
-				if r.Life == "" {
-					r.Life = "1"
+				if r.Incarnation == "" {
+					r.Incarnation = "1"
 				}
 				if r.Process != vm.Process {
-					a.Attach(Facts{Name: "vm", Capacity: eightCore}, r, now)
+					a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, r, now)
 				} else {
 					a.Apply(vm, r, now)
 				}
 			}
-			got := vm.Inherited(now)
+			got := vm.InheritedStarts(now)
 			if len(got) != tt.want {
 				t.Fatalf("inherited %+v, want %d", got, tt.want)
 			}
 			if tt.want == 1 && got[0].Key != start[0].Key {
 				t.Errorf("inherited %+v", got)
 			}
-			now = begin.Add(DoubtLife + 2*time.Second)
-			a.Apply(vm, Report{Life: vm.Life, Process: vm.Process}, now)
-			if got := vm.Inherited(now); len(got) != 0 {
+			now = begin.Add(UnconfirmedStartMaxAge + 2*time.Second)
+			a.Apply(vm, Report{Incarnation: vm.Incarnation, Process: vm.Process}, now)
+			if got := vm.InheritedStarts(now); len(got) != 0 {
 				t.Errorf("inherited %+v after the limit for unanswered starts", got)
 			}
 		})
@@ -72,14 +72,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			a := newState(t, 3)
 			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-			vm, _ := a.Attach(Facts{Name: "vm", Capacity: eightCore}, Report{Life: "1", Process: 1, Ready: true}, at(0))
+			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 1, Ready: true}, at(0))
 			waiting := a.Find(task(1, 0, 0))
 			a.Place(waiting, vm, 1, at(0))
-			a.Attach(Facts{Name: "vm", Capacity: eightCore}, Report{Life: tt.incarnation, Process: 2, Ready: true}, at(10))
-			if got := len(vm.UncertainRuns()); got != tt.kept || j.runs() != tt.kept {
+			a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: tt.incarnation, Process: 2, Ready: true}, at(10))
+			if got := len(vm.UnconfirmedRuns()); got != tt.kept || j.runs() != tt.kept {
 				t.Errorf("%d runs are kept, %d of them unconfirmed, want %d", j.runs(), got, tt.kept)
 			}
-			if got := len(vm.Inherited(at(20))); got != tt.unconfirmed {
+			if got := len(vm.InheritedStarts(at(20))); got != tt.unconfirmed {
 				t.Errorf("%d starts are passed to the new process, want %d", got, tt.unconfirmed)
 			}
 		})
--- a/internal/job/planner/bench_test.go
+++ b/internal/job/planner/bench_test.go
@@ -25,9 +25,9 @@
 	for n := range vms {
 		vm := b.vm(fmt.Sprintf("vm-%03d", n), "in", fmt.Sprint("r", n/6), cores(64))
 		vm.SeenAt = begin
-		run(b.job("q", specifier.Step{Count: 5, Needs: cores(10), EstimateMillis: 500, Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)}), vm)
+		run(b.job("q", specifier.Step{Count: 5, Needs: cores(10), EstimateMillis: 500, LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)}), vm)
 		for image := range 4 {
-			run(b.job("q", specifier.Step{Count: 1, Needs: cores(6), EstimateMillis: 2200, Fills: true, Image: fmt.Sprint("f", (n+image)%6)}), vm)
+			run(b.job("q", specifier.Step{Count: 1, Needs: cores(6), EstimateMillis: 2200, BestEffort: true, Image: fmt.Sprint("f", (n+image)%6)}), vm)
 		}
 		run(b.job("urgent", specifier.Step{Count: 4, Needs: cores(1), EstimateMillis: 800}), vm)
 	}
@@ -38,7 +38,7 @@
 		}
 	}
 	for n := range vms / 10 {
-		b.job("q", specifier.Step{Count: 16, Needs: cores(6), EstimateMillis: 2200, Fills: true, Image: fmt.Sprint("f", n%6)})
+		b.job("q", specifier.Step{Count: 16, Needs: cores(6), EstimateMillis: 2200, BestEffort: true, Image: fmt.Sprint("f", n%6)})
 	}
 	b.state.TakeEnded()
 	return Input{Now: begin.Add(2 * time.Second), State: b.state, Learner: known}, b
@@ -50,7 +50,7 @@
 	for _, vms := range []int{11, 52, 160, 300} {
 		in, fleet := busyFleet(vms)
 		for n := range vms {
-			fleet.job("q", specifier.Step{Count: 16, Needs: cores(6), EstimateMillis: 2200, Fills: true, Image: fmt.Sprint("f", n%4)})
+			fleet.job("q", specifier.Step{Count: 16, Needs: cores(6), EstimateMillis: 2200, BestEffort: true, Image: fmt.Sprint("f", n%4)})
 		}
 		for range 3 {
 			fleet.job("urgent", specifier.Step{Count: 10, Needs: cores(1), EstimateMillis: 800})
@@ -114,14 +114,14 @@
 		in, fleet := busyFleet(vms)
 		for n := range vms {
 			vm := in.State.VMs[fmt.Sprintf("vm-%03d", n)]
-			j := fleet.job("q", specifier.Step{Count: 1, Needs: specifier.Resources{CPUMillis: 7000, MemoryMB: 1000}, Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
+			j := fleet.job("q", specifier.Step{Count: 1, Needs: specifier.Resources{CPUMillis: 7000, MemoryMB: 1000}, LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
 			r := in.State.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin.Add(-time.Minute))
 			r.State, r.StartedAt, r.Progress = accountant.Running, begin.Add(-time.Minute), 100
 		}
 		for n := range 20 {
-			j := fleet.job("q", specifier.Step{Count: 24, Needs: cores(10), Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
+			j := fleet.job("q", specifier.Step{Count: 24, Needs: cores(10), LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
 			for _, t := range j.Occurrences[0].Steps[0].Tasks[:4] {
-				t.Ran, t.WaitSince = true, begin.Add(-time.Minute)
+				t.HasRun, t.WaitSince = true, begin.Add(-time.Minute)
 			}
 		}
 		for range 20 {
@@ -157,13 +157,13 @@
 		for n := range vms {
 			vm := fleet.vm(fmt.Sprintf("vm-%03d", n), "in", fmt.Sprint("r", n/6), cores(64))
 			for k := range 5 {
-				j := fleet.job("q", specifier.Step{Count: 1, Needs: cores(10), Lasting: true, TailMillis: 18, Image: fmt.Sprint("l", (n*7+k*3)%longRunningImages)})
+				j := fleet.job("q", specifier.Step{Count: 1, Needs: cores(10), LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", (n*7+k*3)%longRunningImages)})
 				r := fleet.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin.Add(-time.Minute))
 				r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
 			}
 		}
 		for n := range images {
-			fleet.job("q", specifier.Step{Count: 2 * vms, Needs: cores(4), EstimateMillis: 2200, Fills: true, Image: images[n]})
+			fleet.job("q", specifier.Step{Count: 2 * vms, Needs: cores(4), EstimateMillis: 2200, BestEffort: true, Image: images[n]})
 		}
 		in := Input{Now: begin.Add(2 * time.Second), State: fleet.state, Learner: known}
 		b.Run(fmt.Sprintf("vms-%d", vms), func(b *testing.B) {
--- a/internal/job/planner/cache_test.go
+++ b/internal/job/planner/cache_test.go
@@ -20,7 +20,7 @@
 	for round := range 12 {
 		now := begin.Add(2*time.Second + time.Duration(round)*20*time.Millisecond)
 		in.Now, cached.Now = now, now
-		b.job("q", specifier.Step{Count: 3, Needs: cores(2), EstimateMillis: 900, Fills: true, Image: "f5"})
+		b.job("q", specifier.Step{Count: 3, Needs: cores(2), EstimateMillis: 900, BestEffort: true, Image: "f5"})
 		starts := Plan(cached)
 		if diff := cmp.Diff(vmsByTask(Plan(in)), vmsByTask(starts)); diff != "" {
 			t.Fatalf("round %d: %s", round, diff)
--- a/internal/job/planner/copies_test.go
+++ b/internal/job/planner/copies_test.go
@@ -34,7 +34,7 @@
 // begin.
 func (b *fixture) reportProgress(percent int, after time.Duration) time.Time {
 	vm := b.state.VMs["vm-1"]
-	rep := accountant.Report{Life: "1", Ready: true, OrdersSeen: vm.OrderSeq}
+	rep := accountant.Report{Incarnation: "1", Ready: true, OrdersSeen: vm.OrderSeq}
 	for key := range vm.Runs {
 		rep.Runs = append(rep.Runs, accountant.ReportedRun{Key: key, Confirmed: true, Progress: percent})
 	}
--- a/internal/job/planner/defragment.go
+++ b/internal/job/planner/defragment.go
@@ -17,7 +17,7 @@
 func (r *round) moveForLongRunning(ongoing movesInProgress) []Move {
 	searches := 0
 	for _, s := range r.waitingOverdueFirst() {
-		if !s.Spec.Lasting || s.Spec.Gang || ongoing.steps[s] || r.reservedSteps[s] || r.now.Sub(s.ReadyAt) < minBlockedTime {
+		if !s.Spec.LongRunning || s.Spec.Gang || ongoing.steps[s] || r.reservedSteps[s] || r.now.Sub(s.ReadyAt) < minBlockedTime {
 			continue
 		}
 		count := runsPerVM(s)
@@ -79,7 +79,7 @@
 	s := run.Step()
 	count := r.runCounts(s)
 	for _, m := range r.vmStates {
-		if m != from && !m.vm.Slow() && !run.Task.Shunned[m.vm.Name] && m.admits(s, count[m.vm]) {
+		if m != from && !m.vm.Slow() && !run.Task.AvoidedVMs[m.vm.Name] && m.admits(s, count[m.vm]) {
 			return m
 		}
 	}
--- a/internal/job/planner/demand.go
+++ b/internal/job/planner/demand.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, s := range in.State.OpenSteps() {
-		if s.Spec.Fills && !s.Spec.Lasting {
+		if s.Spec.BestEffort && !s.Spec.LongRunning {
 			needed[s.Spec.Image] += float64(len(s.Tasks)-s.Done) * float64(s.Spec.Needs.CPUMillis)
 		}
 	}
@@ -84,7 +84,7 @@
 func countImages(vm *accountant.VM) imageCounts {
 	c := make(imageCounts)
 	for _, run := range vm.Runs {
-		if s := run.Step().Spec; s.Lasting && run.State != accountant.Stopping {
+		if s := run.Step().Spec; s.LongRunning && run.State != accountant.Stopping {
 			c[s.Image]++
 		}
 	}
--- a/internal/job/planner/evict.go
+++ b/internal/job/planner/evict.go
@@ -63,7 +63,7 @@
 // a stop loses little work.
 func (r *round) starved(run *accountant.Run) bool {
 	s := run.Step()
-	return s.Spec.Fills && !s.Spec.Gang && run.State == accountant.Running && run.VM.Attached &&
+	return s.Spec.BestEffort && !s.Spec.Gang && run.State == accountant.Running && run.VM.Attached &&
 		run.Pace != accountant.PaceUnknown && run.Pace <= starvedPace && r.now.Sub(run.PacedAt) >= starvedFor &&
 		len(run.Task.Runs) == 1 && lostWork(run) <= maxLostWork
 }
--- a/internal/job/planner/evict_test.go
+++ b/internal/job/planner/evict_test.go
@@ -23,7 +23,7 @@
 		{"throttled just now", func(_ *fixture, r *accountant.Run) { r.PacedAt = begin.Add(-starvedFor / 2) }, false},
 		{"pace not known", func(_ *fixture, r *accountant.Run) { r.Pace = accountant.PaceUnknown }, false},
 		{"no other VM", func(b *fixture, _ *accountant.Run) { b.state.Detach(b.state.VMs["two"]) }, false},
-		{"the other VM is busy", func(b *fixture, _ *accountant.Run) { b.state.VMs["two"].FillCPU = 30_000 }, false},
+		{"the other VM is busy", func(b *fixture, _ *accountant.Run) { b.state.VMs["two"].BestEffortCPU = 30_000 }, false},
 		{"much would be lost", func(_ *fixture, r *accountant.Run) { r.Step().Spec.Checkpoints, r.Progress = false, 80 }, false},
 		{"little would be lost", func(_ *fixture, r *accountant.Run) { r.Step().Spec.Checkpoints, r.Progress = false, 10 }, true},
 	}
@@ -32,9 +32,9 @@
 			b := newFixture()
 			one := b.vm("one", "in", "r1", cores(32))
 			b.vm("two", "in", "r1", cores(32))
-			longRunning := b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true, TailMillis: 18, Image: "a"})
+			longRunning := b.job("q", specifier.Step{Count: 1, Needs: cores(8), LongRunning: true, TailMillis: 18, Image: "a"})
 			b.state.Place(longRunning.Occurrences[0].Steps[0].Tasks[0], one, 1, begin.Add(-time.Minute))
-			bestEffort := b.job("q", specifier.Step{Count: 1, Needs: cores(4), EstimateMillis: 3000, Fills: true, Image: "x", Checkpoints: true})
+			bestEffort := b.job("q", specifier.Step{Count: 1, Needs: cores(4), EstimateMillis: 3000, BestEffort: true, Image: "x", Checkpoints: true})
 			run := b.state.Place(bestEffort.Occurrences[0].Steps[0].Tasks[0], one, 1, begin.Add(-2*time.Second))
 			run.State, run.StartedAt, run.Progress = accountant.Running, begin.Add(-2*time.Second), 80
 			run.SetPace(10, begin.Add(-starvedFor))
--- a/internal/job/planner/explain.go
+++ b/internal/job/planner/explain.go
@@ -16,7 +16,7 @@
 		return "the job has ended"
 	case !s.Ready():
 		return "earlier steps are not finished"
-	case !j.SettlesAt.IsZero():
+	case !j.ReconcileAt.IsZero():
 		return "an earlier owner may have started it on a VM that has not reported yet"
 	case j.Queue.Name == "":
 		return "the fleet text does not define the queue " + j.Spec.Queue
@@ -44,7 +44,7 @@
 		return "not connected"
 	case !vm.Ready:
 		return "draining or out of contact"
-	case !vm.Sized():
+	case !vm.SizesKnown():
 		return "with a run of unknown size"
 	case vm.Quarantined(in.Now):
 		return "quarantined"
@@ -64,7 +64,7 @@
 		return "without room"
 	case !m.admits(s, runsPerVM(s)[vm]):
 		return "at the limit for tasks of the step or for best-effort tasks"
-	case s.Spec.Fills && r.interference(m, s).leastHeadroom < minHeadroom:
+	case s.Spec.BestEffort && r.interference(m, s).leastHeadroom < minHeadroom:
 		return "where it would interfere with long-running tasks"
 	}
 	return "with room"
--- a/internal/job/planner/interference.go
+++ b/internal/job/planner/interference.go
@@ -42,7 +42,7 @@
 // serving.
 func hasMeasuredTail(r *accountant.Run) bool {
 	s := r.Step().Spec
-	return s.Lasting && s.TailMillis > 0 && r.State == accountant.Running && r.Progress >= paceFull
+	return s.LongRunning && s.TailMillis > 0 && r.State == accountant.Running && r.Progress >= paceFull
 }
 
 // headroom is the target of a long-running task divided by its tail latency.
@@ -57,7 +57,7 @@
 func measuredUse(vm *accountant.VM) learner.Use {
 	use := make(learner.Use)
 	for _, r := range vm.Runs {
-		if s := r.Step().Spec; s.Fills && r.State != accountant.Ordered {
+		if s := r.Step().Spec; s.BestEffort && r.State != accountant.Ordered {
 			use[s.Image] += float64(r.Measure) / float64(max(vm.Capacity.CPUMillis, 1))
 		}
 	}
@@ -78,7 +78,7 @@
 func expectedUse(vm *accountant.VM, now time.Time) learner.Use {
 	use := make(learner.Use)
 	for _, r := range vm.Runs {
-		if s := r.Step().Spec; s.Fills && r.State != accountant.Stopping {
+		if s := r.Step().Spec; s.BestEffort && r.State != accountant.Stopping {
 			use[s.Image] += fullPaceUse(r, now)
 		}
 	}
@@ -125,7 +125,7 @@
 	var all []neighbour
 	for _, run := range vm.Runs {
 		l := run.Step().Spec
-		if !l.Lasting || l.TailMillis <= 0 {
+		if !l.LongRunning || l.TailMillis <= 0 {
 			continue
 		}
 		own, low := r.learner.OwnHeadroom(groupName(run))
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -48,8 +48,8 @@
 }
 
 // Moving returns the record of the move to store in its task.
-func (m Move) Moving(now time.Time) accountant.Moving {
-	return accountant.Moving{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: MoveHold, Until: now.Add(MoveHold)}
+func (m Move) Moving(now time.Time) accountant.Relocation {
+	return accountant.Relocation{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: MoveHold, Until: now.Add(MoveHold)}
 }
 
 // group holds the long-running runs of one image on a VM. They move together: any one that
@@ -239,7 +239,7 @@
 	joined := make(map[*accountant.Step]int)
 	for _, run := range arriving.runs {
 		s := run.Step()
-		if to.vm.Slow() || run.Task.Shunned[to.vm.Name] || !to.admits(s, runsPerVM(s)[to.vm]+joined[s]) {
+		if to.vm.Slow() || run.Task.AvoidedVMs[to.vm.Name] || !to.admits(s, runsPerVM(s)[to.vm]+joined[s]) {
 			return false
 		}
 		to.addLongRunning(s)
@@ -256,7 +256,7 @@
 	for _, runs := range lists {
 		for _, run := range runs {
 			s := run.Step()
-			if moving[s]++; s.Spec.MaxAway > 0 && moving[s] > s.Spec.MaxAway {
+			if moving[s]++; s.Spec.MaxUnavailable > 0 && moving[s] > s.Spec.MaxUnavailable {
 				return false
 			}
 		}
@@ -267,7 +267,7 @@
 // bestEffortBlocked reports whether best-effort tasks have waited too long.
 func (r *round) bestEffortBlocked() bool {
 	for _, s := range r.in.State.WaitingSteps(r.now) {
-		if s.Spec.Fills && !s.Spec.Lasting && r.now.Sub(s.ReadyAt) > minBlockedTime {
+		if s.Spec.BestEffort && !s.Spec.LongRunning && r.now.Sub(s.ReadyAt) > minBlockedTime {
 			return true
 		}
 	}
@@ -287,18 +287,18 @@
 	ongoing := movesInProgress{vms: make(map[string]bool), steps: make(map[*accountant.Step]bool)}
 	all := 0
 	for _, s := range in.State.OpenSteps() {
-		if !s.Spec.Lasting {
+		if !s.Spec.LongRunning {
 			continue
 		}
 		all += len(s.Tasks)
 		for _, t := range s.Tasks {
-			if t.Moves.To == "" || !in.Now.Before(t.Moves.Until.Add(moveTimeout)) || !t.Away() {
+			if t.Relocation.To == "" || !in.Now.Before(t.Relocation.Until.Add(moveTimeout)) || !t.Unavailable() {
 				continue
 			}
 			ongoing.unavailable++
-			ongoing.vms[t.Moves.From], ongoing.vms[t.Moves.To] = true, true
-			if t.Moves.For != nil {
-				ongoing.steps[t.Moves.For] = true
+			ongoing.vms[t.Relocation.From], ongoing.vms[t.Relocation.To] = true, true
+			if t.Relocation.For != nil {
+				ongoing.steps[t.Relocation.For] = true
 			}
 		}
 	}
@@ -315,7 +315,7 @@
 func longRunningRuns(vm *accountant.VM) []*accountant.Run {
 	var runs []*accountant.Run
 	for _, run := range vm.Runs {
-		if run.Step().Spec.Lasting && run.State != accountant.Stopping {
+		if run.Step().Spec.LongRunning && run.State != accountant.Stopping {
 			runs = append(runs, run)
 		}
 	}
@@ -331,7 +331,7 @@
 // mayMove reports whether a long-running run has been running long enough, and whether its
 // step's limit of unavailable tasks allows it to stop.
 func (r *round) mayMove(run *accountant.Run) bool {
-	if s := run.Step(); s.Spec.MaxAway > 0 && s.Away() > 0 {
+	if s := run.Step(); s.Spec.MaxUnavailable > 0 && s.Unavailable() > 0 {
 		return false
 	}
 	return run.State == accountant.Running && run.Progress >= paceFull && !run.Step().Spec.Gang && r.now.Sub(run.StartedAt) >= minRunTime
--- a/internal/job/planner/move_test.go
+++ b/internal/job/planner/move_test.go
@@ -45,7 +45,7 @@
 func newMixedFleet(count int) *mixedFleet {
 	f := &mixedFleet{fixture: newFixture(), learner: trainedLearner(map[string][]string{"a": {"x"}, "b": {"y"}}, "x", "y")}
 	for _, image := range []string{"a", "b"} {
-		f.jobs = append(f.jobs, f.job("q", specifier.Step{Count: count, Needs: cores(12), Lasting: true, TailMillis: 18, Image: image}))
+		f.jobs = append(f.jobs, f.job("q", specifier.Step{Count: count, Needs: cores(12), LongRunning: true, TailMillis: 18, Image: image}))
 	}
 	for n := range count {
 		vm := f.vm(string(rune('1'+n)), "in", "r1", cores(32))
@@ -65,7 +65,7 @@
 
 // submitBestEffort adds a job of waiting best-effort tasks of an image.
 func (f *mixedFleet) submitBestEffort(image string) *accountant.Job {
-	return f.job("q", specifier.Step{Count: 8, Needs: cores(4), EstimateMillis: 2000, Fills: true, Image: image})
+	return f.job("q", specifier.Step{Count: 8, Needs: cores(4), EstimateMillis: 2000, BestEffort: true, Image: image})
 }
 
 func (f *mixedFleet) moves() []Move {
@@ -153,14 +153,14 @@
 		}, false},
 		{"one has failed", func(f *mixedFleet) { f.fail() }, true},
 		{"one moves and is not running yet", func(f *mixedFleet) {
-			f.fail().Moves = accountant.Moving{To: "2", Until: begin.Add(MoveHold)}
+			f.fail().Relocation = accountant.Relocation{To: "2", Until: begin.Add(MoveHold)}
 		}, false},
 		{"one has moved and is running", func(f *mixedFleet) {
-			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Moves = accountant.Moving{To: "1", Until: begin.Add(MoveHold)}
+			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Relocation = accountant.Relocation{To: "1", Until: begin.Add(MoveHold)}
 		}, true},
 		{"no other task may be unavailable", func(f *mixedFleet) {
 			for _, j := range f.jobs {
-				j.Spec.Steps[0].MaxAway = 1
+				j.Spec.Steps[0].MaxUnavailable = 1
 				j.Occurrences[0].Steps[0].Tasks[0].Runs[0].Progress = 0
 			}
 		}, false},
@@ -183,7 +183,7 @@
 	for _, unavailable := range []int{0, 1, 2} {
 		f := newMixedFleet(4)
 		for _, j := range f.jobs {
-			j.Spec.Steps[0].MaxAway = unavailable
+			j.Spec.Steps[0].MaxUnavailable = unavailable
 		}
 		f.submitBestEffort("x")
 		moving := make(map[*accountant.Step]int)
@@ -210,7 +210,7 @@
 	f.vm("spare", "in", "r1", cores(32))
 	run := longRunningRunsOf(f.vms[0], "a")[0]
 	task := run.Task
-	task.Moves = accountant.Moving{To: f.vms[1].Name, Until: begin.Add(MoveHold)}
+	task.Relocation = accountant.Relocation{To: f.vms[1].Name, Until: begin.Add(MoveHold)}
 	f.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", begin)
 	if got := f.plan(begin); len(got) != 0 {
 		t.Fatalf("starts on %s while its place is taken", got[0].VM.Name)
@@ -231,7 +231,7 @@
 // and it starts.
 func TestMoveDefragmentsCapacity(t *testing.T) {
 	f := newMixedFleet(3) // 32 cores each, 24 in use
-	big := f.job("q", specifier.Step{Count: 1, Needs: cores(14), Lasting: true, TailMillis: 18, Image: "a"})
+	big := f.job("q", specifier.Step{Count: 1, Needs: cores(14), LongRunning: true, TailMillis: 18, Image: "a"})
 	if got := f.plan(begin); len(got) != 0 {
 		t.Fatalf("starts at once: %v", vmsByTask(got))
 	}
@@ -265,7 +265,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for _, j := range f.jobs {
-				j.Spec.Steps[0].MaxAway = tt.unavailable
+				j.Spec.Steps[0].MaxUnavailable = tt.unavailable
 			}
 			if got := withinMaxAway(tt.runs); got != tt.want {
 				t.Errorf("may leave together: %t", got)
@@ -310,7 +310,7 @@
 						t.Fatalf("%s takes part in two moves", m.Run.VM.Name)
 					}
 					from[m.Run.VM.Name], from[m.To.Name] = true, true
-					f.state.SetMove(m.Run.Task, m.Moving(begin), begin)
+					f.state.SetRelocation(m.Run.Task, m.Moving(begin), begin)
 					f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
 					unavailable++
 				}
@@ -334,14 +334,14 @@
 func TestCapacityOfMoveIsHeldFromEndOfRun(t *testing.T) {
 	b := newFixture(specifier.Queue{Name: "q", Slack: 20})
 	from, to := b.vm("from", "in", "r1", cores(16)), b.vm("to", "in", "r1", cores(8))
-	small := b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true})
-	large := b.job("q", specifier.Step{Count: 1, Needs: cores(16), Lasting: true})
+	small := b.job("q", specifier.Step{Count: 1, Needs: cores(8), LongRunning: true})
+	large := b.job("q", specifier.Step{Count: 1, Needs: cores(16), LongRunning: true})
 	mover, next := small.Occurrences[0].Steps[0].Tasks[0], large.Occurrences[0].Steps[0].Tasks[0]
 	b.runOn(mover, from)
 	run := mover.Runs[0]
 	move := Move{Run: run, To: to, For: next.Step}
 	b.state.Stop(run, "moves", begin)
-	b.state.SetMove(mover, move.Moving(begin), begin)
+	b.state.SetRelocation(mover, move.Moving(begin), begin)
 	b.urgent("q", 24)
 	late := begin.Add(2 * MoveHold)
 	if got := b.plan(late); len(got) != 0 {
@@ -360,9 +360,9 @@
 	for _, overdue := range []bool{false, true} {
 		f := newMixedFleet(4)
 		f.submitBestEffort("x")
-		unavailable := f.job("q", specifier.Step{Count: 1, Needs: cores(16), Lasting: true, Image: "a"})
+		unavailable := f.job("q", specifier.Step{Count: 1, Needs: cores(16), LongRunning: true, Image: "a"})
 		task := unavailable.Occurrences[0].Steps[0].Tasks[0]
-		task.Ran, task.WaitSince = true, begin.Add(2*time.Second)
+		task.HasRun, task.WaitSince = true, begin.Add(2*time.Second)
 		if overdue {
 			task.WaitSince = begin.Add(-time.Minute)
 		}
--- a/internal/job/planner/order.go
+++ b/internal/job/planner/order.go
@@ -40,8 +40,8 @@
 			return a.priority < b.priority
 		case a.urgency != b.urgency:
 			return a.urgency < b.urgency
-		case a.step.Spec.Lasting != b.step.Spec.Lasting:
-			return b.step.Spec.Lasting
+		case a.step.Spec.LongRunning != b.step.Spec.LongRunning:
+			return b.step.Spec.LongRunning
 		case a.left != b.left:
 			return a.left < b.left
 		default:
@@ -60,11 +60,11 @@
 	chain := longestChains(o)
 	objective := time.Duration(float64(chain.total)*q.Slack) + q.Target
 	r := ranked{step: s, priority: q.Priority, deadline: o.DueAt.Add(objective)}
-	if s.Spec.Lasting {
+	if s.Spec.LongRunning {
 		r.deadline = s.ReadyAt // first come, first served
 		return r
 	}
-	end := in.Now.Add(time.Duration(float64(chain.left) * in.State.Stretch(o.Job.Spec.Queue)))
+	end := in.Now.Add(time.Duration(float64(chain.left) * in.State.RuntimeRatio(o.Job.Spec.Queue)))
 	switch {
 	case end.After(o.DueAt.Add(tooLateFactor * objective)):
 		r.urgency = tooLate
@@ -72,7 +72,7 @@
 	case end.After(r.deadline):
 		r.urgency = late
 	}
-	r.left = o.Left()
+	r.left = o.RemainingShare()
 	return r
 }
 
--- a/internal/job/planner/pace.go
+++ b/internal/job/planner/pace.go
@@ -44,8 +44,8 @@
 }
 
 // observe updates the throttling state of a VM and returns it.
-func observe(vm *accountant.VM, now time.Time) *accountant.Harm {
-	h := &vm.Harm
+func observe(vm *accountant.VM, now time.Time) *accountant.ThrottleState {
+	h := &vm.Throttle
 	if h.ChangedAt.IsZero() {
 		h.Percent, h.ChangedAt = paceFull, now
 	}
@@ -71,7 +71,7 @@
 	return h
 }
 
-func raisePace(h *accountant.Harm, now time.Time) {
+func raisePace(h *accountant.ThrottleState, now time.Time) {
 	if h.Percent == paceFull || now.Sub(h.UnderSince) < paceRaiseAfter || now.Sub(h.ChangedAt) < paceRaiseAfter {
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func setPace(h *accountant.Harm, percent int, now time.Time) {
+func setPace(h *accountant.ThrottleState, percent int, now time.Time) {
 	if h.Percent != percent {
 		h.Percent, h.ChangedAt = percent, now
 	}
@@ -94,7 +94,7 @@
 func tailOverTarget(vm *accountant.VM) bool {
 	for _, r := range vm.Runs {
 		s := r.Step().Spec
-		if s.Lasting && s.TailMillis > 0 && r.State == accountant.Running && r.Measure > s.TailMillis {
+		if s.LongRunning && s.TailMillis > 0 && r.State == accountant.Running && r.Measure > s.TailMillis {
 			return true
 		}
 	}
--- a/internal/job/planner/pace_test.go
+++ b/internal/job/planner/pace_test.go
@@ -17,8 +17,8 @@
 	b = newFixture()
 	vm := b.vm("vm", "in", "r1", cores(32))
 	for i, s := range []specifier.Step{
-		{Count: 1, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"},
-		{Count: 1, Needs: cores(8), Fills: true, Image: "f"},
+		{Count: 1, Needs: cores(8), LongRunning: true, TailMillis: 20, Image: "l"},
+		{Count: 1, Needs: cores(8), BestEffort: true, Image: "f"},
 	} {
 		j := b.job("q", s)
 		r := b.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -110,7 +110,7 @@
 }
 
 func newVMState(vm *accountant.VM, now time.Time) *vmState {
-	return &vmState{vm: vm, now: now, free: vm.Capacity.Sub(vm.Committed), bestEffortCPU: vm.FillCPU, longRunning: vm.Lasting, longRunningCPU: vm.LastCPU}
+	return &vmState{vm: vm, now: now, free: vm.Capacity.Sub(vm.Committed), bestEffortCPU: vm.BestEffortCPU, longRunning: vm.LongRunning, longRunningCPU: vm.LongRunningCPU}
 }
 
 // Plan returns the starts of one round, most urgent first.
@@ -134,7 +134,7 @@
 // acceptsTasks reports whether any task may start on a VM. None may on a VM with a run of
 // unknown size: the VM could be overcommitted.
 func acceptsTasks(vm *accountant.VM, in Input) bool {
-	return vm.Attached && vm.Ready && vm.Sized() && !vm.Quarantined(in.Now) && !in.State.Policy().ZonesOut[vm.Zone]
+	return vm.Attached && vm.Ready && vm.SizesKnown() && !vm.Quarantined(in.Now) && !in.State.Policy().ZonesOut[vm.Zone]
 }
 
 func (r *round) placeStep(s *accountant.Step) []Start {
@@ -158,7 +158,7 @@
 			r.noteUnplaceable(s)
 			// Tasks of a step have the same needs, so the others fit on no VM either, except
 			// for a task that only avoids VMs where it failed.
-			if len(t.Shunned) == 0 {
+			if len(t.AvoidedVMs) == 0 {
 				break
 			}
 			continue
@@ -200,7 +200,7 @@
 }
 
 func plainBestEffort(s *accountant.Step) bool {
-	return s.Spec.Fills && !s.Spec.Lasting && !s.Spec.Gang && s.Spec.Label == "" && s.Spec.MaxPerVM == 0 && !s.Occurrence.Job.Queue.Advised
+	return s.Spec.BestEffort && !s.Spec.LongRunning && !s.Spec.Gang && s.Spec.Label == "" && s.Spec.MaxPerVM == 0 && !s.Occurrence.Job.Queue.Advised
 }
 
 // placeGang places all tasks of a gang or none: a part of the gang would only wait.
@@ -266,11 +266,11 @@
 // assign accounts for a task on a VM.
 func (r *round) assign(m *vmState, s *specifier.Step) {
 	m.free = m.free.Sub(s.Committed())
-	if s.Fills {
+	if s.BestEffort {
 		r.subtractBestEffort(m, s)
 		m.bestEffortCPU += s.Needs.CPUMillis
 	}
-	if s.Lasting {
+	if s.LongRunning {
 		m.images = m.imageCounts().adjusted(s.Image, 1)
 		m.longRunning++
 		m.longRunningCPU += s.Needs.CPUMillis
@@ -286,18 +286,18 @@
 		if !m.admitsTask(s, t, count[m.vm]) || t.RunsOn(m.vm) {
 			continue
 		}
-		if t.Waiting(m.vm.Name, r.now) {
+		if t.MovesElsewhere(m.vm.Name, r.now) {
 			continue
 		}
 		var cost float64
-		if s.Spec.Fills {
+		if s.Spec.BestEffort {
 			d := r.interference(m, s)
 			if d.leastHeadroom < minHeadroom {
 				continue
 			}
 			cost = d.loss
 		}
-		if s.Spec.Lasting {
+		if s.Spec.LongRunning {
 			cost = r.servedLoss(m, s)
 		}
 		sc := scoreVM(m, s, t, count[m.vm], cost)
@@ -323,7 +323,7 @@
 	if !m.free.Fits(spec.Committed()) || !m.eligible(s, running) {
 		return false
 	}
-	if !spec.Fills {
+	if !spec.BestEffort {
 		return true
 	}
 	left := m.bestEffortCapacity()
--- a/internal/job/planner/planner_test.go
+++ b/internal/job/planner/planner_test.go
@@ -34,7 +34,7 @@
 }
 
 func (b *fixture) vm(name, zone, rack string, capacity specifier.Resources, labels ...string) *accountant.VM {
-	vm, _ := b.state.Attach(accountant.Facts{Name: name, Zone: zone, Rack: rack, Labels: labels, Capacity: capacity}, accountant.Report{Life: "1", Ready: true}, begin)
+	vm, _ := b.state.Attach(accountant.VMInfo{Name: name, Zone: zone, Rack: rack, Labels: labels, Capacity: capacity}, accountant.Report{Incarnation: "1", Ready: true}, begin)
 	return vm
 }
 
@@ -98,11 +98,11 @@
 		change func(b *fixture, vm *accountant.VM)
 	}{
 		{"not connected", func(b *fixture, vm *accountant.VM) { b.state.Detach(vm) }},
-		{"draining", func(b *fixture, vm *accountant.VM) { b.state.Apply(vm, accountant.Report{Life: "1"}, begin) }},
-		{"quarantined", func(_ *fixture, vm *accountant.VM) { vm.Health.QuarantineTo = begin.Add(time.Second) }},
+		{"draining", func(b *fixture, vm *accountant.VM) { b.state.Apply(vm, accountant.Report{Incarnation: "1"}, begin) }},
+		{"quarantined", func(_ *fixture, vm *accountant.VM) { vm.Health.QuarantinedUntil = begin.Add(time.Second) }},
 		{"of another service", func(_ *fixture, vm *accountant.VM) { vm.Service = "other" }},
 		{"with a run of unknown size", func(b *fixture, vm *accountant.VM) {
-			b.state.Apply(vm, accountant.Report{Life: "1", Ready: true, Runs: []accountant.ReportedRun{{
+			b.state.Apply(vm, accountant.Report{Incarnation: "1", Ready: true, Runs: []accountant.ReportedRun{{
 				Key: accountant.RunKey{Task: specifier.TaskID{Job: "ended"}, Number: 1}, Confirmed: true,
 			}}}, begin)
 		}},
@@ -195,14 +195,14 @@
 	b := newFixture()
 	one := b.vm("one", "in", "r1", cores(32))
 	b.vm("two", "in", "r1", cores(32))
-	longRunning := b.job("q", specifier.Step{Count: 2, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"})
+	longRunning := b.job("q", specifier.Step{Count: 2, Needs: cores(8), LongRunning: true, TailMillis: 20, Image: "l"})
 	for _, s := range b.plan(begin) {
 		b.state.Place(s.Task, s.VM, s.Number, begin)
 	}
-	if one.Lasting != 2 {
-		t.Fatalf("%d of 2 long-running tasks share a VM", one.Lasting)
+	if one.LongRunning != 2 {
+		t.Fatalf("%d of 2 long-running tasks share a VM", one.LongRunning)
 	}
-	b.job("q", specifier.Step{Count: 4, Needs: cores(4), Fills: true, Image: "f"})
+	b.job("q", specifier.Step{Count: 4, Needs: cores(4), BestEffort: true, Image: "f"})
 	for task, vm := range vmsByTask(b.plan(begin)) {
 		if vm != "two" {
 			t.Errorf("%s starts on the VM of the long-running tasks of %s", task, longRunning.Spec.ID)
@@ -215,7 +215,7 @@
 func TestInterferingImageIsKeptOff(t *testing.T) {
 	b := newFixture()
 	vm := b.vm("one", "in", "r1", cores(32))
-	b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true, TailMillis: 20, Image: "l"})
+	b.job("q", specifier.Step{Count: 1, Needs: cores(8), LongRunning: true, TailMillis: 20, Image: "l"})
 	for _, s := range b.plan(begin) {
 		b.state.Place(s.Task, s.VM, s.Number, begin)
 	}
@@ -227,7 +227,7 @@
 		known.Observe(learner.Observation{Group: "g", Image: "l", Headroom: 2.3, Use: learner.Use{"harmless": 0.25}, At: at})
 	}
 	for _, image := range []string{"interfering", "harmless"} {
-		b.job("q", specifier.Step{Count: 1, Needs: cores(4), Fills: true, Image: image})
+		b.job("q", specifier.Step{Count: 1, Needs: cores(4), BestEffort: true, Image: image})
 	}
 	starts := Plan(Input{Now: begin, State: b.state, Learner: known})
 	if len(starts) != 1 || starts[0].Task.Step.Spec.Image != "harmless" {
@@ -240,7 +240,7 @@
 func TestQuarantinedVMIsProbedByOneTask(t *testing.T) {
 	b := newFixture()
 	vm := b.vm("vm", "in", "r1", cores(32))
-	vm.Health.Times = 1
+	vm.Health.ConsecutiveQuarantines = 1
 	b.job("q", specifier.Step{Count: 8, Needs: cores(1)})
 	if got := len(b.plan(begin)); got != 1 {
 		t.Errorf("%d tasks start", got)
@@ -257,7 +257,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "jobs") {
 			b.job("q", specifier.Step{
 				Count: rapid.IntRange(1, 8).Draw(t, "count"), Needs: cores(rapid.Int64Range(1, 6).Draw(t, "needs")),
-				Gang: rapid.Bool().Draw(t, "gang"), Fills: rapid.Bool().Draw(t, "fills"), Lasting: rapid.Bool().Draw(t, "lasting"),
+				Gang: rapid.Bool().Draw(t, "gang"), BestEffort: rapid.Bool().Draw(t, "fills"), LongRunning: rapid.Bool().Draw(t, "lasting"),
 				MaxPerVM: rapid.IntRange(0, 3).Draw(t, "max"), SameRack: rapid.Bool().Draw(t, "rack"),
 			})
 		}
--- a/internal/job/planner/preempt.go
+++ b/internal/job/planner/preempt.go
@@ -46,7 +46,7 @@
 	found := r.overdueTasks(steps)
 	for _, s := range steps {
 		for _, t := range s.Tasks {
-			if !t.Ran && r.needsReservation(t) {
+			if !t.HasRun && r.needsReservation(t) {
 				found = append(found, t)
 				break // the other tasks of the step need as much
 			}
@@ -108,7 +108,7 @@
 	var runs []*accountant.Run
 	for _, run := range vm.Runs {
 		s := run.Step()
-		if s.Spec.Fills && !s.Spec.Lasting && !s.Spec.Gang && run.State != accountant.Stopping && !r.stopped[run] && s.Occurrence.Job.Queue.Priority > priority {
+		if s.Spec.BestEffort && !s.Spec.LongRunning && !s.Spec.Gang && run.State != accountant.Stopping && !r.stopped[run] && s.Occurrence.Job.Queue.Priority > priority {
 			runs = append(runs, run)
 		}
 	}
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -35,7 +35,7 @@
 	if r.underPressure() {
 		after = returnAfterPressure
 	}
-	return t.Step.Spec.Lasting && !t.Step.Spec.Gang && t.Waits(r.now) && r.now.Sub(t.WaitSince) >= after
+	return t.Step.Spec.LongRunning && !t.Step.Spec.Gang && t.Waits(r.now) && r.now.Sub(t.WaitSince) >= after
 }
 
 // underPressure reports whether urgent tasks recently waited too long for capacity.
@@ -43,7 +43,7 @@
 
 // overdue reports whether a long-running task that was running has been unavailable for too
 // long.
-func (r *round) overdue(t *accountant.Task) bool { return t.Ran && r.needsReservation(t) }
+func (r *round) overdue(t *accountant.Task) bool { return t.HasRun && r.needsReservation(t) }
 
 // placeOverdue starts the overdue long-running tasks, or reserves capacity for them.
 func (r *round) placeOverdue(steps []*accountant.Step) (starts []Start) {
@@ -51,7 +51,7 @@
 	for _, t := range r.overdueTasks(steps) {
 		s := t.Step
 		best := (*vmState)(nil)
-		if !noFit[s] || t.Moves.To != "" {
+		if !noFit[s] || t.Relocation.To != "" {
 			best = r.choose(s, t, r.runCounts(s))
 		}
 		if best != nil {
@@ -69,7 +69,7 @@
 // from starting.
 func (r *round) overdueTasks(steps []*accountant.Step) (found []*accountant.Task) {
 	for _, s := range steps {
-		if !s.Spec.Lasting {
+		if !s.Spec.LongRunning {
 			continue
 		}
 		for _, t := range s.Tasks {
@@ -87,11 +87,11 @@
 // run that is to leave may still be there; the free capacity is negative then.
 func (r *round) reserveForMoves() {
 	for _, t := range r.state.MovingTasks(r.now) {
-		if m := r.findVM(t.Moves.To); m != nil {
+		if m := r.findVM(t.Relocation.To); m != nil {
 			m.reserve(t)
 		}
-		if m := r.findVM(t.Moves.From); m != nil && t.Moves.For != nil {
-			if next := longestWaiting(t.Moves.For, r.now); next != nil {
+		if m := r.findVM(t.Relocation.From); m != nil && t.Relocation.For != nil {
+			if next := longestWaiting(t.Relocation.For, r.now); next != nil {
 				m.reserve(next)
 			}
 		}
@@ -180,10 +180,10 @@
 // hold: it has no precedence over urgent tasks for processors.
 func (r *round) mayReserve(t *accountant.Task, m *vmState) bool {
 	s := t.Step
-	if m.vm.Slow() || t.RunsOn(m.vm) || t.Waiting(m.vm.Name, r.now) || !m.eligible(s, r.runCounts(s)[m.vm]) {
+	if m.vm.Slow() || t.RunsOn(m.vm) || t.MovesElsewhere(m.vm.Name, r.now) || !m.eligible(s, r.runCounts(s)[m.vm]) {
 		return false
 	}
-	if !t.Ran && m.free.CPUMillis < s.Spec.Needs.CPUMillis {
+	if !t.HasRun && m.free.CPUMillis < s.Spec.Needs.CPUMillis {
 		return false
 	}
 	return m.freeAfterEnds().Fits(s.Spec.Committed())
@@ -223,7 +223,7 @@
 		switch {
 		case run.State == accountant.Stopping:
 			m.stopping = m.stopping.Add(run.Step().Spec.Committed())
-		case !run.Step().Spec.Lasting:
+		case !run.Step().Spec.LongRunning:
 			m.ending = m.ending.Add(run.Step().Spec.Committed())
 		}
 	}
--- a/internal/job/planner/reservation_test.go
+++ b/internal/job/planner/reservation_test.go
@@ -62,7 +62,7 @@
 			r.stop(run)
 		}
 		for _, t := range Turns(in) {
-			r.state.SetMove(t.Task, t.Moving(r.now), r.now)
+			r.state.SetRelocation(t.Task, t.Moving(r.now), r.now)
 			t.Run.Task.Yielded = true
 			r.stop(t.Run)
 		}
@@ -72,7 +72,7 @@
 		for _, s := range Plan(in) {
 			run := r.state.Place(s.Task, s.VM, s.Number, r.now)
 			run.State, run.StartedAt, run.Progress = accountant.Running, r.now, 100
-			if spec := run.Step().Spec; !spec.Lasting && !spec.Fills {
+			if spec := run.Step().Spec; !spec.LongRunning && !spec.BestEffort {
 				r.ends[run] = r.now.Add(run.Step().Spec.Estimate())
 			}
 		}
@@ -101,14 +101,14 @@
 
 // starveBestEffort submits best-effort tasks that take all free memory and make no progress.
 func (r *overload) starveBestEffort() {
-	r.job("best-effort", specifier.Step{Count: 400, Needs: specifier.Resources{CPUMillis: 100, MemoryMB: 3000}, EstimateMillis: 2000, Fills: true, Image: "x"})
+	r.job("best-effort", specifier.Step{Count: 400, Needs: specifier.Resources{CPUMillis: 100, MemoryMB: 3000}, EstimateMillis: 2000, BestEffort: true, Image: "x"})
 }
 
 // halfFullFleet returns a fleet on which every VM runs two long-running tasks of 8 of 32 cores
 // each.
 func halfFullFleet(vms int) (*fixture, *accountant.Job) {
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 1.5}, specifier.Queue{Name: "best-effort", Priority: 2, Slack: 2})
-	j := b.job("long-running", specifier.Step{Count: 2 * vms, Needs: cores(8), Lasting: true})
+	j := b.job("long-running", specifier.Step{Count: 2 * vms, Needs: cores(8), LongRunning: true})
 	for n := range vms {
 		vm := b.vm(string(rune('a'+n)), "in", "r1", cores(32))
 		for _, t := range j.Occurrences[0].Steps[0].Tasks[2*n : 2*n+2] {
@@ -139,12 +139,12 @@
 	}{
 		{"moved", false, func(r *overload, task *accountant.Task) {
 			run := task.Runs[0]
-			r.state.SetMove(task, accountant.Moving{To: "j", Until: r.now.Add(MoveHold)}, r.now)
+			r.state.SetRelocation(task, accountant.Relocation{To: "j", Until: r.now.Add(MoveHold)}, r.now)
 			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
 		}, MoveHold},
 		{"moved to a VM that was removed", false, func(r *overload, task *accountant.Task) {
 			run := task.Runs[0]
-			r.state.SetMove(task, accountant.Moving{To: "removed", Until: r.now.Add(MoveHold)}, r.now)
+			r.state.SetRelocation(task, accountant.Relocation{To: "removed", Until: r.now.Add(MoveHold)}, r.now)
 			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
 		}, returnAfterPressure + returnBound},
 		{"yielded", false, yield, returnAfterPressure + returnBound},
@@ -157,7 +157,7 @@
 			vm := task.Runs[0].VM
 			vm.Ready = false
 			r.state.Detach(vm)
-			r.state.Lose(vm, r.now)
+			r.state.DropRuns(vm, r.now)
 		}, returnAfterPressure + returnBound},
 	}
 	for _, tt := range tests {
@@ -169,9 +169,9 @@
 			}
 			r.replayUntil(2*time.Second, func() bool { return false })
 			tasks := longRunning.Occurrences[0].Steps[0].Tasks
-			task := tasks[slices.IndexFunc(tasks, func(t *accountant.Task) bool { return !t.Away() })]
+			task := tasks[slices.IndexFunc(tasks, func(t *accountant.Task) bool { return !t.Unavailable() })]
 			tt.stop(r, task)
-			took, back := r.replayUntil(20*time.Second, func() bool { return !task.Away() })
+			took, back := r.replayUntil(20*time.Second, func() bool { return !task.Unavailable() })
 			if !back || took > tt.bound {
 				t.Errorf("running again %t after %s, want within %s", back, took, tt.bound)
 			}
@@ -206,9 +206,9 @@
 			for _, s := range b.plan(begin) {
 				b.state.Place(s.Task, vm, s.Number, begin)
 			}
-			j := b.job("long-running", specifier.Step{Count: 1, Needs: cores(tt.task), Lasting: true})
+			j := b.job("long-running", specifier.Step{Count: 1, Needs: cores(tt.task), LongRunning: true})
 			task := j.Occurrences[0].Steps[0].Tasks[0]
-			task.Ran, task.WaitSince = true, begin.Add(-tt.unavailable)
+			task.HasRun, task.WaitSince = true, begin.Add(-tt.unavailable)
 			b.urgent("urgent", 32)
 			if got := len(b.plan(begin)); got != tt.want {
 				t.Errorf("%d tasks start, want %d", got, tt.want)
@@ -222,7 +222,7 @@
 func TestNoLongRunningTaskStarves(t *testing.T) {
 	const vms, lost = 40, 13
 	b, old := halfFullFleet(vms)
-	young := b.job("long-running", specifier.Step{Count: vms / 2, Needs: cores(8), Lasting: true})
+	young := b.job("long-running", specifier.Step{Count: vms / 2, Needs: cores(8), LongRunning: true})
 	for n, task := range young.Occurrences[0].Steps[0].Tasks {
 		b.runOn(task, b.state.VMs[string(rune('a'+n))])
 	}
@@ -232,7 +232,7 @@
 		vm := r.state.VMs[string(rune('a'+n))]
 		vm.Ready = false
 		r.state.Detach(vm)
-		r.state.Lose(vm, r.now)
+		r.state.DropRuns(vm, r.now)
 	}
 	worst := time.Duration(0)
 	r.replayUntil(15*time.Second, func() bool {
@@ -256,10 +256,10 @@
 	b := newFixture()
 	b.vm("vm", "in", "r1", cores(8))
 	for n, unavailable := range []time.Duration{returnAfter + time.Second, returnAfter + 10*time.Second} {
-		j := b.job("q", specifier.Step{Count: 1, Needs: cores(8), Lasting: true})
+		j := b.job("q", specifier.Step{Count: 1, Needs: cores(8), LongRunning: true})
 		s := j.Occurrences[0].Steps[0]
 		s.ReadyAt = begin.Add(time.Duration(n-2) * time.Minute)
-		s.Tasks[0].Ran, s.Tasks[0].WaitSince = true, begin.Add(-unavailable)
+		s.Tasks[0].HasRun, s.Tasks[0].WaitSince = true, begin.Add(-unavailable)
 	}
 	if starts := b.plan(begin); len(starts) != 1 || starts[0].Task.ID().Job != jobID(2) {
 		t.Errorf("starts %v, want the task of job 2", vmsByTask(starts))
@@ -282,11 +282,11 @@
 		{"no urgent task waits", time.Minute, false, func(*fixture, []*accountant.Job) {}, 0},
 		{"a rotation for it is under way", returnAfterPressure, true, func(b *fixture, longRunning []*accountant.Job) {
 			task := longRunning[0].Occurrences[0].Steps[0].Tasks[0]
-			b.state.SetMove(task, Rotation{Run: longRunning[1].Occurrences[0].Steps[0].Tasks[0].Runs[0]}.Moving(begin), begin)
+			b.state.SetRelocation(task, Rotation{Run: longRunning[1].Occurrences[0].Steps[0].Tasks[0].Runs[0]}.Moving(begin), begin)
 		}, 0},
 		{"no other task may be unavailable", returnAfterPressure, true, func(_ *fixture, longRunning []*accountant.Job) {
 			for _, j := range longRunning[1:] {
-				j.Spec.Steps[0].MaxAway = 1
+				j.Spec.Steps[0].MaxUnavailable = 1
 			}
 		}, 0},
 	}
--- a/internal/job/planner/rotation.go
+++ b/internal/job/planner/rotation.go
@@ -30,8 +30,8 @@
 }
 
 // Moving returns the record of the rotation to store in the task that starts again.
-func (t Rotation) Moving(now time.Time) accountant.Moving {
-	return accountant.Moving{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
+func (t Rotation) Moving(now time.Time) accountant.Relocation {
+	return accountant.Relocation{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
 }
 
 // Turns returns the rotations to carry out while urgent tasks wait for capacity.
@@ -70,7 +70,7 @@
 func (r *round) tryRotation(run *accountant.Run, t *accountant.Task) bool {
 	s := t.Step
 	m := r.findVM(run.VM.Name)
-	if run.Step() == s || m == nil || m.vm.Slow() || t.Shunned[m.vm.Name] {
+	if run.Step() == s || m == nil || m.vm.Slow() || t.AvoidedVMs[m.vm.Name] {
 		return false
 	}
 	free := m.free.Add(run.Step().Spec.Committed())
--- a/internal/job/planner/score.go
+++ b/internal/job/planner/score.go
@@ -23,13 +23,13 @@
 func scoreVM(m *vmState, s *accountant.Step, t *accountant.Task, running int, cost float64) score {
 	spec := s.Spec
 	var sc score
-	if t.Shunned[m.vm.Name] {
+	if t.AvoidedVMs[m.vm.Name] {
 		sc[0]--
 	}
 	if m.vm.Slow() {
 		sc[0]--
 	}
-	if t.Moves.To == m.vm.Name {
+	if t.Relocation.To == m.vm.Name {
 		sc[0] += 0.75
 	}
 	if spec.DataRack != "" && m.vm.Rack == spec.DataRack {
@@ -40,9 +40,9 @@
 	}
 	free := float64(m.free.CPUMillis) / float64(max(m.vm.Capacity.CPUMillis, 1))
 	switch {
-	case spec.Fills:
+	case spec.BestEffort:
 		sc[1] = m.bestEffortCapacity()/float64(max(m.vm.Capacity.CPUMillis, 1)) - cost
-	case spec.Lasting:
+	case spec.LongRunning:
 		sc[1] = -cost
 		sc[2] = float64(m.longRunning)
 		sc[3] = -free
--- a/internal/job/planner/throttle.go
+++ b/internal/job/planner/throttle.go
@@ -56,7 +56,7 @@
 func bestEffortRuns(in Input, vm *accountant.VM) []bestEffortRun {
 	var runs []bestEffortRun
 	for _, r := range vm.Runs {
-		if r.Step().Spec.Fills && r.State == accountant.Running {
+		if r.Step().Spec.BestEffort && r.State == accountant.Running {
 			runs = append(runs, bestEffortRun{run: r, use: fullPaceUse(r, in.Now)})
 		}
 	}
--- a/internal/job/planner/throttle_test.go
+++ b/internal/job/planner/throttle_test.go
@@ -37,10 +37,10 @@
 		r.State, r.StartedAt = accountant.Running, begin.Add(-time.Minute)
 		return r
 	}
-	v.longRunning = run(specifier.Step{Count: 1, Needs: cores(8), Lasting: true, TailMillis: simulatedTarget, Image: "l"})
+	v.longRunning = run(specifier.Step{Count: 1, Needs: cores(8), LongRunning: true, TailMillis: simulatedTarget, Image: "l"})
 	v.longRunning.Progress = 100
 	for _, image := range []string{"interfering", "interfering", "harmless", "harmless", "harmless", "harmless"} {
-		v.bestEffort = append(v.bestEffort, run(specifier.Step{Count: 1, Needs: cores(3), Fills: true, Image: image}))
+		v.bestEffort = append(v.bestEffort, run(specifier.Step{Count: 1, Needs: cores(3), BestEffort: true, Image: image}))
 	}
 	if known {
 		v.learner = learner.New()
--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -39,15 +39,15 @@
 	}
 	reservedCPU, unavailable := int64(0), int64(0)
 	for _, s := range in.State.OpenSteps() {
-		if !s.Spec.Lasting {
+		if !s.Spec.LongRunning {
 			continue
 		}
 		reservedCPU += int64(len(s.Tasks)) * s.Spec.Needs.CPUMillis
 		for _, t := range s.Tasks {
-			if t.Ran && t.Away() {
+			if t.HasRun && t.Unavailable() {
 				unavailable += s.Spec.Needs.CPUMillis
 			}
-			if r := t.Lead(); r != nil && r.State == accountant.Stopping {
+			if r := t.PrimaryRun(); r != nil && r.State == accountant.Stopping {
 				need -= s.Spec.Needs.CPUMillis // is being stopped
 			}
 		}
@@ -70,7 +70,7 @@
 func (r *round) urgentDemand() int64 {
 	need := int64(0)
 	for _, s := range r.in.State.WaitingSteps(r.now) {
-		if s.Spec.Fills || s.Spec.Lasting || s.Spec.Gang || s.Occurrence.Job.Queue.Priority > 0 || rank(r.in, s).urgency == tooLate {
+		if s.Spec.BestEffort || s.Spec.LongRunning || s.Spec.Gang || s.Occurrence.Job.Queue.Priority > 0 || rank(r.in, s).urgency == tooLate {
 			continue
 		}
 		count := runsPerVM(s)
@@ -105,11 +105,11 @@
 	for _, m := range r.vmStates {
 		for _, run := range longRunningRuns(m.vm) {
 			s := run.Step()
-			if s.Spec.MaxAway > 0 || len(s.Tasks) == 1 || !r.mayMove(run) {
+			if s.Spec.MaxUnavailable > 0 || len(s.Tasks) == 1 || !r.mayMove(run) {
 				continue
 			}
 			if _, known := unavailable[s]; !known {
-				count := float64(s.Away())
+				count := float64(s.Unavailable())
 				unavailable[s] = count / float64(len(s.Tasks))
 				work[s] = (float64(len(s.Tasks)) - count) * float64(s.Spec.Needs.CPUMillis)
 			}
--- a/internal/job/planner/yield_test.go
+++ b/internal/job/planner/yield_test.go
@@ -14,7 +14,7 @@
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 1.5}, specifier.Queue{Name: "later", Priority: 2, Slack: 2})
 	var jobs []*accountant.Job
 	for range 4 {
-		jobs = append(jobs, b.job("long-running", specifier.Step{Count: 10, Needs: cores(8), Lasting: true}))
+		jobs = append(jobs, b.job("long-running", specifier.Step{Count: 10, Needs: cores(8), LongRunning: true}))
 	}
 	for n := range 10 {
 		vm := b.vm(string(rune('a'+n)), "in", "r1", cores(32))
@@ -60,7 +60,7 @@
 			b.urgent("urgent", 400)
 			for _, vm := range []string{"a", "b"} {
 				b.state.Detach(b.state.VMs[vm])
-				b.state.Lose(b.state.VMs[vm], begin)
+				b.state.DropRuns(b.state.VMs[vm], begin)
 			}
 		}, 0},
 		{"too late for their callers", 5 * time.Second, func(b *fixture, _ []*accountant.Job) { b.urgent("urgent", 400) }, 0},
@@ -73,7 +73,7 @@
 		{"no other task may be unavailable", yieldAfter, func(b *fixture, longRunning []*accountant.Job) {
 			b.urgent("urgent", 4)
 			for _, j := range longRunning {
-				j.Spec.Steps[0].MaxAway = 1
+				j.Spec.Steps[0].MaxUnavailable = 1
 			}
 		}, 0},
 	}
@@ -136,7 +136,7 @@
 // capacity is free again in a second, and the long-running tasks then have it for long.
 func TestUrgentTasksStartBeforeLongRunning(t *testing.T) {
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 2})
-	b.job("long-running", specifier.Step{Count: 1, Needs: cores(8), Lasting: true})
+	b.job("long-running", specifier.Step{Count: 1, Needs: cores(8), LongRunning: true})
 	b.urgent("urgent", 8)
 	b.vm("vm", "in", "r1", cores(8))
 	starts := b.plan(begin)
@@ -144,7 +144,7 @@
 		t.Fatalf("%d tasks start", len(starts))
 	}
 	for _, s := range starts {
-		if s.Task.Step.Spec.Lasting {
+		if s.Task.Step.Spec.LongRunning {
 			t.Error("the long-running task starts first")
 		}
 	}
@@ -154,8 +154,8 @@
 // job has the smallest share unavailable.
 func TestYieldsAreSpreadOverJobs(t *testing.T) {
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 1.5})
-	large := b.job("long-running", specifier.Step{Count: 20, Needs: cores(8), Lasting: true})
-	small := b.job("long-running", specifier.Step{Count: 4, Needs: cores(8), Lasting: true})
+	large := b.job("long-running", specifier.Step{Count: 20, Needs: cores(8), LongRunning: true})
+	small := b.job("long-running", specifier.Step{Count: 4, Needs: cores(8), LongRunning: true})
 	tasks := append(large.Occurrences[0].Steps[0].Tasks, small.Occurrences[0].Steps[0].Tasks...)
 	for n, task := range tasks {
 		name := string(rune('a' + n/4))
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -35,7 +35,7 @@
 	var workers []string
 	for _, vm := range q.VMs {
 		workers = append(workers, vm.WorkerID)
-		e.incarnations[vm.Name] = vm.Life
+		e.incarnations[vm.Name] = vm.Incarnation
 	}
 	limit := queue.AdviceTime + time.Duration(len(workers))*queue.AdvicePerVM + adviceQueueTime
 	go func() {
@@ -65,7 +65,7 @@
 	allowed := 0
 	for _, vm := range e.question.VMs {
 		text, ok := e.tickets[vm.WorkerID]
-		t := accountant.Ticket{Life: e.incarnations[vm.Name]} // an empty ticket records a refusal
+		t := accountant.Ticket{Incarnation: e.incarnations[vm.Name]} // an empty ticket records a refusal
 		if ok {
 			allowed++
 			t.Text, t.Until = text, e.until
--- a/internal/job/scheduler/explain.go
+++ b/internal/job/scheduler/explain.go
@@ -16,8 +16,8 @@
 			return messenger.WorkExplainReply{Job: r.Job, Epoch: o.epoch}
 		}
 		a := messenger.WorkExplainReply{
-			Known: true, Job: r.Job, Queue: j.Spec.Queue, State: string(j.Told()), Epoch: o.epoch,
-			Unsettled: !j.SettlesAt.IsZero(), Occurrences: j.Spec.Times(), Finished: j.Finished,
+			Known: true, Job: r.Job, Queue: j.Spec.Queue, State: string(j.ReportedState()), Epoch: o.epoch,
+			Unsettled: !j.ReconcileAt.IsZero(), Occurrences: j.Spec.OccurrenceCount(), Finished: j.Finished,
 		}
 		in := planner.Input{Now: o.s.config.Now(), State: o.state, Learner: o.learner}
 		for _, occurrence := range j.Occurrences {
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -107,7 +107,7 @@
 	if !j.State.Final() {
 		return puts, nil
 	}
-	tombstone, err := j.EncodeRemains()
+	tombstone, err := j.EncodeTombstone()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/job/scheduler/members_test.go
+++ b/internal/job/scheduler/members_test.go
@@ -108,6 +108,6 @@
 	report.Life, report.Facts = "2", &messenger.WorkFacts{WorkerID: "id-2", Capacity: specifier.Resources{CPUMillis: 2000}}
 	applyReport(t, o, c, report)
 	if vm := o.state.VMs["vm-1"]; vm.WorkerID != "id-2" || vm.Capacity.CPUMillis != 2000 {
-		t.Errorf("incarnation %s has id %s and %d thousandths of a core", vm.Life, vm.WorkerID, vm.Capacity.CPUMillis)
+		t.Errorf("incarnation %s has id %s and %d thousandths of a core", vm.Incarnation, vm.WorkerID, vm.Capacity.CPUMillis)
 	}
 }
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -239,7 +239,7 @@
 			o.s.config.Reporter.Report(reporter.VMDetached, reporter.Fields{"vm": vm.Name, "quiet": sinceContact.String(), "runs": len(vm.Runs)})
 		}
 		if !vm.Attached && len(vm.Runs) > 0 && sinceContact > o.leaseExpiry() {
-			o.reportLost(vm, o.state.Lose(vm, now), "leases ran out")
+			o.reportLost(vm, o.state.DropRuns(vm, now), "leases ran out")
 		}
 	}
 }
@@ -265,7 +265,7 @@
 	if o.reconciled {
 		return
 	}
-	if waiting := o.state.Settle(len(o.unreported) == 0, now); waiting > 0 || now.Sub(o.started) < o.s.config.Lease && len(o.unreported) > 0 {
+	if waiting := o.state.Reconcile(len(o.unreported) == 0, now); waiting > 0 || now.Sub(o.started) < o.s.config.Lease && len(o.unreported) > 0 {
 		return
 	}
 	o.reconciled = true
@@ -286,8 +286,8 @@
 	overdue := o.state.OverdueStops(stopOverdueAfter, now)
 	o.s.config.Meters.stopsOverdue(len(overdue))
 	for _, r := range overdue {
-		if !r.StopTold {
-			r.StopTold = true
+		if !r.OverdueReported {
+			r.OverdueReported = true
 			o.s.config.Reporter.Report(reporter.JobStopOverdue, reporter.Fields{"task": r.Key().Task.String(), "run": r.Number, "vm": r.VM.Name, "state": r.State.String(), "cause": r.StopCause, "since": now.Sub(r.StoppedAt).String(), "attached": r.VM.Attached})
 		}
 	}
@@ -299,9 +299,9 @@
 		o.orderStop(r, "stands still")
 	}
 	for _, vm := range o.state.VMs {
-		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantineTo {
-			o.reportedQuarantines[vm.Name] = vm.Health.QuarantineTo
-			o.s.config.Reporter.Report(reporter.VMJudged, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantineTo.Sub(now).String()})
+		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantinedUntil {
+			o.reportedQuarantines[vm.Name] = vm.Health.QuarantinedUntil
+			o.s.config.Reporter.Report(reporter.VMJudged, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantinedUntil.Sub(now).String()})
 		}
 	}
 }
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -36,7 +36,7 @@
 			cause = "moves for a lasting task"
 		}
 		if o.orderStop(m.Run, cause) {
-			o.state.SetMove(m.Run.Task, m.Moving(now), now)
+			o.state.SetRelocation(m.Run.Task, m.Moving(now), now)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	for _, t := range planner.Turns(o.input(now)) {
 		if o.orderStop(t.Run, "takes turns with a lasting task") {
 			t.Run.Task.Yielded = true
-			o.state.SetMove(t.Task, t.Moving(now), now)
+			o.state.SetRelocation(t.Task, t.Moving(now), now)
 		}
 	}
 }
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -47,7 +47,7 @@
 	conn     *connector.Conn
 	connDone <-chan struct{} // closed with the connection
 	report   messenger.WorkReport
-	facts    accountant.Facts
+	facts    accountant.VMInfo
 	parsed   accountant.Report
 	answer   chan messenger.WorkReply
 }
@@ -117,17 +117,17 @@
 		s = s.next(vm, e)
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
 		o.sessions[vm.Name] = s
-		for _, r := range vm.UncertainRuns() {
+		for _, r := range vm.UnconfirmedRuns() {
 			o.orderStop(r, "its start may still be on its way")
 		}
 		reply.Needs, reply.Doubts = runNeeds(vm), unconfirmedStarts(vm, now)
 		o.dirty = true
-		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Life, "runs": len(vm.Runs), "ready": vm.Ready})
+		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Incarnation, "runs": len(vm.Runs), "ready": vm.Ready})
 	} else {
 		o.dirty = o.dirty || s.vm.Ready != e.parsed.Ready || !s.vm.Attached
 		s.vm.Attached = true
 		if e.report.Facts != nil {
-			o.state.Describe(s.vm, e.facts)
+			o.state.UpdateInfo(s.vm, e.facts)
 		}
 		changes = o.state.Apply(s.vm, e.parsed, now)
 	}
@@ -225,8 +225,8 @@
 // reportChanges logs and counts the changes of a report.
 func (o *owner) reportChanges(vm *accountant.VM, c accountant.Changes) {
 	for _, e := range c.Ended {
-		o.s.config.Meters.runEnded(e.How)
-		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.How), "end": e.Seq})
+		o.s.config.Meters.runEnded(e.Outcome)
+		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.Outcome), "end": e.Seq})
 	}
 	o.reportLost(vm, c.Lost, "not at the worker any more")
 	for _, r := range c.Adopted {
@@ -247,18 +247,18 @@
 // unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
 func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkDoubt {
 	var all []messenger.WorkDoubt
-	for _, d := range vm.Inherited(now) {
+	for _, d := range vm.InheritedStarts(now) {
 		all = append(all, messenger.WorkDoubt{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
 	}
 	return all
 }
 
-func parseReport(r messenger.WorkReport) (accountant.Report, accountant.Facts, error) {
-	rep := accountant.Report{Life: r.Life, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
+func parseReport(r messenger.WorkReport) (accountant.Report, accountant.VMInfo, error) {
+	rep := accountant.Report{Incarnation: r.Life, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
 	for _, w := range r.Runs {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
 		run := accountant.ReportedRun{Key: accountant.RunKey{Task: id, Number: w.Run}, Confirmed: w.Confirmed, Stopping: w.Stopping, Checkpoint: w.Checkpoint, Progress: w.Progress, Measure: w.Measure}
 		if w.Needs != nil {
@@ -269,18 +269,18 @@
 	for _, w := range r.Ends {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
-		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, How: accountant.End(w.How), Checkpoint: w.Checkpoint})
+		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, Outcome: accountant.End(w.How), Checkpoint: w.Checkpoint})
 	}
 	for _, w := range r.Doubts {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
-		rep.Doubts = append(rep.Doubts, accountant.ReportedDoubt{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
+		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, accountant.UnconfirmedStart{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
 	}
-	facts := accountant.Facts{Name: r.VM}
+	facts := accountant.VMInfo{Name: r.VM}
 	if f := r.Facts; f != nil {
 		facts.Zone, facts.Rack, facts.Service, facts.Labels, facts.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
 		facts.WorkerID = f.WorkerID
@@ -298,7 +298,7 @@
 	o.s.config.Meters.runStarted(r, now)
 	o.s.config.Reporter.Report(reporter.JobStartDecided, reporter.Fields{
 		"task": r.Key().Task.String(), "run": r.Number, "vm": start.VM.Name, "waited": now.Sub(start.Task.WaitSince).String(),
-		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.FillCPU, "lasting": start.VM.Lasting,
+		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.BestEffortCPU, "lasting": start.VM.LongRunning,
 		"policy": o.state.Policy().Version, "copy": start.Copy,
 	})
 }
@@ -333,10 +333,10 @@
 		if s.vm.EndStored <= s.sentEndStored && len(s.queued) == 0 {
 			continue
 		}
-		if o.state.VMs[name].Life == "" {
+		if o.state.VMs[name].Incarnation == "" {
 			continue
 		}
-		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Life: s.vm.Life, EndsStored: s.vm.EndStored, Orders: s.queued}
+		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Life: s.vm.Incarnation, EndsStored: s.vm.EndStored, Orders: s.queued}
 		s.sentEndStored, s.queued = s.vm.EndStored, nil
 		s.post(m)
 	}
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -39,7 +39,7 @@
 	state := accountant.New(accountant.Config{Policy: policy})
 	b.o = newOwner(s, 2, state, b.now)
 	b.o.reconciled = true
-	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, Lasting: true}}}, time.Time{}, b.now)
+	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, LongRunning: true}}}, time.Time{}, b.now)
 	b.report = messenger.WorkReport{
 		VM: "vm-1", Session: 1, Process: 1, Life: "1", Ready: true, Granted: true,
 		Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
--- a/internal/job/specifier/check.go
+++ b/internal/job/specifier/check.go
@@ -54,8 +54,8 @@
 	if s.Count < 1 || s.Count > MaxTasks {
 		add("count %d, want 1 to %d", s.Count, MaxTasks)
 	}
-	if s.Needs.CPUMillis < 0 || s.Needs.MemoryMB < 0 || s.Needs.GPUs < 0 || s.EstimateMillis < 0 || s.MaxPerVM < 0 || s.MaxAway < 0 || s.TailMillis < 0 {
-		add("sizes, durations and bounds must not be negative: cpu-millis %d, memory-mb %d, gpus %d, estimate-ms %d, max-per-vm %d, max-away %d, tail-target %d", s.Needs.CPUMillis, s.Needs.MemoryMB, s.Needs.GPUs, s.EstimateMillis, s.MaxPerVM, s.MaxAway, s.TailMillis)
+	if s.Needs.CPUMillis < 0 || s.Needs.MemoryMB < 0 || s.Needs.GPUs < 0 || s.EstimateMillis < 0 || s.MaxPerVM < 0 || s.MaxUnavailable < 0 || s.TailMillis < 0 {
+		add("sizes, durations and bounds must not be negative: cpu-millis %d, memory-mb %d, gpus %d, estimate-ms %d, max-per-vm %d, max-away %d, tail-target %d", s.Needs.CPUMillis, s.Needs.MemoryMB, s.Needs.GPUs, s.EstimateMillis, s.MaxPerVM, s.MaxUnavailable, s.TailMillis)
 	}
 	// A step may depend only on earlier ones, which rules out cycles.
 	for _, a := range s.After {
--- a/internal/job/specifier/specifier.go
+++ b/internal/job/specifier/specifier.go
@@ -54,11 +54,11 @@
 	DataRack       string    `json:"data-rack,omitempty"`   // rack that holds the input data; tasks are slow elsewhere
 	MaxPerVM       int       `json:"max-per-vm,omitempty"`  // tasks of one occurrence on a VM; 0: no limit
 	Copies         bool      `json:"copies,omitempty"`      // several runs of a task are allowed at once; the first to end counts
-	Lasting        bool      `json:"lasting,omitempty"`     // long-running: runs until the job is cancelled
-	MaxAway        int       `json:"max-away,omitempty"`    // long-running tasks that orders may make unavailable at once; 0: no limit requested
+	LongRunning    bool      `json:"lasting,omitempty"`     // long-running: runs until the job is cancelled
+	MaxUnavailable int       `json:"max-away,omitempty"`    // long-running tasks that orders may make unavailable at once; 0: no limit requested
 	Image          string    `json:"image,omitempty"`       // tasks of the same image behave alike
 	TailMillis     int64     `json:"tail-target,omitempty"` // target for the tail latency of a long-running task, in ms
-	Fills          bool      `json:"fills,omitempty"`       // best-effort: uses processor time that other tasks leave idle; none is reserved
+	BestEffort     bool      `json:"fills,omitempty"`       // best-effort: uses processor time that other tasks leave idle; none is reserved
 }
 
 // Estimate is the declared duration of a task.
@@ -67,7 +67,7 @@
 // Committed returns the part of a VM's capacity that is reserved for a task. No
 // processors are reserved for a best-effort task.
 func (s Step) Committed() Resources {
-	if s.Fills {
+	if s.BestEffort {
 		return Resources{MemoryMB: s.Needs.MemoryMB, GPUs: s.Needs.GPUs}
 	}
 	return s.Needs
@@ -100,8 +100,8 @@
 	return Job{ID: j.ID, Queue: j.Queue, AcceptedMillis: j.AcceptedMillis, Ended: state, EndedMillis: at.UnixMilli()}
 }
 
-// Times returns how many times the steps run.
-func (j *Job) Times() int { return max(j.Occurrences, 1) }
+// OccurrenceCount returns how many times the steps run.
+func (j *Job) OccurrenceCount() int { return max(j.Occurrences, 1) }
 
 // Due returns when an occurrence may start.
 func (j *Job) Due(occurrence int) time.Time {
@@ -111,11 +111,11 @@
 	return time.UnixMilli(j.FirstMillis + int64(occurrence)*j.IntervalMillis)
 }
 
-// Lasts reports whether the job has long-running tasks, so that it ends only when it is
+// LongRunning reports whether the job has long-running tasks, so that it ends only when it is
 // cancelled.
-func (j *Job) Lasts() bool {
+func (j *Job) LongRunning() bool {
 	for _, s := range j.Steps {
-		if s.Lasting {
+		if s.LongRunning {
 			return true
 		}
 	}
--- a/internal/job/specifier/specifier_test.go
+++ b/internal/job/specifier/specifier_test.go
@@ -95,11 +95,11 @@
 
 func TestDue(t *testing.T) {
 	once := Job{AcceptedMillis: 5000}
-	if got := once.Due(0); !got.Equal(time.UnixMilli(5000)) || once.Times() != 1 {
-		t.Errorf("a job without occurrences is due at %v, %d times", got, once.Times())
+	if got := once.Due(0); !got.Equal(time.UnixMilli(5000)) || once.OccurrenceCount() != 1 {
+		t.Errorf("a job without occurrences is due at %v, %d times", got, once.OccurrenceCount())
 	}
 	scheduled := Job{AcceptedMillis: 5000, Occurrences: 3, FirstMillis: 9000, IntervalMillis: 200}
-	if got := scheduled.Due(2); !got.Equal(time.UnixMilli(9400)) || scheduled.Times() != 3 {
-		t.Errorf("the third occurrence is due at %v of %d", got, scheduled.Times())
+	if got := scheduled.Due(2); !got.Equal(time.UnixMilli(9400)) || scheduled.OccurrenceCount() != 3 {
+		t.Errorf("the third occurrence is due at %v of %d", got, scheduled.OccurrenceCount())
 	}
 }
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -298,7 +298,7 @@
 	var refused ErrRefused
 	final := errors.As(err, &refused) && !refused.Reason.retryable()
 	if err != nil && !errors.As(err, &refused) {
-		r.latePaceUntil = g.config.Now().Add(accountant.DoubtLife)
+		r.latePaceUntil = g.config.Now().Add(accountant.UnconfirmedStartMaxAge)
 	}
 	if (err == nil || final) && r.pace == percent {
 		r.sendingPace = false
--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -39,7 +39,7 @@
 func (g *Guardian) dropExpiredStartsLocked() {
 	now := g.config.Now()
 	for k, d := range g.unconfirmedStarts {
-		if now.Sub(d.sentAt) >= accountant.DoubtLife {
+		if now.Sub(d.sentAt) >= accountant.UnconfirmedStartMaxAge {
 			delete(g.unconfirmedStarts, k)
 		}
 	}
@@ -93,7 +93,7 @@
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		s, ok := g.unconfirmedStarts[key]
-		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.DoubtLife
+		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.UnconfirmedStartMaxAge
 		epoch := g.epoch
 		g.mu.Unlock()
 		if done {
--- a/internal/worker/guardian/unconfirmed_starts_test.go
+++ b/internal/worker/guardian/unconfirmed_starts_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"may still be carried out", time.Second, false, 1, 1},
 		{"carried out", time.Second, true, 0, 0},
-		{"expired", accountant.DoubtLife, false, 0, 0},
+		{"expired", accountant.UnconfirmedStartMaxAge, false, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tests/integration/job_cancel_test.go
+++ b/tests/integration/job_cancel_test.go
@@ -77,7 +77,7 @@
 	for n := range longRunningJobs {
 		j := &specifier.Job{
 			ID: fmt.Sprintf("%016x", 0x2000+n), Queue: "labels", Payload: `{"run-ms":-1}`,
-			Steps: []specifier.Step{{Count: tasksPerJob, Lasting: true, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 100}}},
+			Steps: []specifier.Step{{Count: tasksPerJob, LongRunning: true, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 100}}},
 		}
 		r.submit(j)
 		ids = append(ids, j.ID)
--- a/tests/integration/job_faults_test.go
+++ b/tests/integration/job_faults_test.go
@@ -199,7 +199,7 @@
 	t.Parallel()
 	r := newJobTestbed(t, harness.Seed(t))
 	j := &specifier.Job{ID: "00000000000004d3", Queue: "labels", Payload: `{"run-ms":-1}`, Steps: []specifier.Step{
-		{Count: 3, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 100}, Lasting: true},
+		{Count: 3, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 100}, LongRunning: true},
 	}}
 	r.submit(j)
 	awaitRunning := func(want int) {
--- a/tests/integration/job_testbed_test.go
+++ b/tests/integration/job_testbed_test.go
@@ -60,7 +60,7 @@
 	}
 	for i := range 1 + r.random.IntN(3) {
 		s := specifier.Step{
-			Count: 1 + r.random.IntN(4), EstimateMillis: 300, Checkpoints: true, Fills: r.random.IntN(3) == 0,
+			Count: 1 + r.random.IntN(4), EstimateMillis: 300, Checkpoints: true, BestEffort: r.random.IntN(3) == 0,
 			Needs: specifier.Resources{CPUMillis: 500 * (1 + r.random.Int64N(6)), MemoryMB: 100 * (1 + r.random.Int64N(20))},
 		}
 		if i > 0 {
--- a/tests/soak/callers_test.go
+++ b/tests/soak/callers_test.go
@@ -133,14 +133,14 @@
 
 // drawJob returns the next job and whether its caller retries it after a refusal.
 func (c *caller) drawJob() (j *specifier.Job, retryRefusal bool) {
-	longRunning := len(c.registry.jobIDs(func(r *record) bool { return r.spec.Lasts() && !r.refused && r.acked.IsZero() }))
+	longRunning := len(c.registry.jobIDs(func(r *record) bool { return r.spec.LongRunning() && !r.refused && r.acked.IsZero() }))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
 	j = &specifier.Job{ID: fmt.Sprintf("%08x%08x", 1+c.number, c.count), Queue: []string{"labels", "sorting"}[c.random.IntN(2)]}
 	if longRunning < maxLongRunning && c.random.IntN(3) > 0 {
 		j.Payload = `{"run-ms":-1,"checkpointed":true}`
-		j.Steps = []specifier.Step{{Count: 1 + c.random.IntN(2), Lasting: true, Needs: specifier.Resources{CPUMillis: 250 * (1 + c.random.Int64N(2)), MemoryMB: 500}}}
+		j.Steps = []specifier.Step{{Count: 1 + c.random.IntN(2), LongRunning: true, Needs: specifier.Resources{CPUMillis: 250 * (1 + c.random.Int64N(2)), MemoryMB: 500}}}
 	} else {
 		j.Payload = fmt.Sprintf(`{"run-ms":%d,"checkpointed":%v}`, 100+c.random.IntN(900), c.random.IntN(2) == 0)
 		for i := range 1 + c.random.IntN(3) {
@@ -155,7 +155,7 @@
 
 func (c *caller) drawStep(i int) specifier.Step {
 	s := specifier.Step{
-		Count: 1 + c.random.IntN(4), EstimateMillis: 500, Checkpoints: true, Fills: c.random.IntN(4) == 0, Copies: c.random.IntN(5) == 0,
+		Count: 1 + c.random.IntN(4), EstimateMillis: 500, Checkpoints: true, BestEffort: c.random.IntN(4) == 0, Copies: c.random.IntN(5) == 0,
 		Needs: specifier.Resources{CPUMillis: 500 * (1 + c.random.Int64N(6)), MemoryMB: 100 * (1 + c.random.Int64N(20))},
 	}
 	if i > 0 {
@@ -229,8 +229,8 @@
 // cancelSome cancels about n jobs, preferably long-running ones and at least one other,
 // until all cancellations are acknowledged.
 func (c *caller) cancelSome(ctx context.Context, n int) {
-	longRunning := c.pick(c.registry.jobIDs(func(r *record) bool { return r.pending() && r.spec.Lasts() }), n)
-	others := c.pick(c.registry.jobIDs(func(r *record) bool { return r.pending() && !r.spec.Lasts() }), max(1, n-len(longRunning)))
+	longRunning := c.pick(c.registry.jobIDs(func(r *record) bool { return r.pending() && r.spec.LongRunning() }), n)
+	others := c.pick(c.registry.jobIDs(func(r *record) bool { return r.pending() && !r.spec.LongRunning() }), max(1, n-len(longRunning)))
 	forEach(append(longRunning, others...), func(id string) { c.cancel(ctx, id) })
 }
 
--- a/tests/soak/history_checks_test.go
+++ b/tests/soak/history_checks_test.go
@@ -73,7 +73,7 @@
 // Requests without an answer and acknowledged ones that have not taken effect must be
 // reported as outstanding.
 func TestOutstandingReportsUnfinishedJobs(t *testing.T) {
-	longRunning := &specifier.Job{ID: "00000000000004d2", Steps: []specifier.Step{{Count: 1, Lasting: true}}}
+	longRunning := &specifier.Job{ID: "00000000000004d2", Steps: []specifier.Step{{Count: 1, LongRunning: true}}}
 	short := &specifier.Job{ID: "00000000000004d2", Steps: []specifier.Step{{Count: 1}}}
 	now := time.Now()
 	tests := []struct {
--- a/tests/soak/history_test.go
+++ b/tests/soak/history_test.go
@@ -255,9 +255,9 @@
 		case j.cancelRequested && j.acked.IsZero():
 			found = append(found, fmt.Sprintf("settled: cancellation of job %s is not acknowledged", id))
 		case j.accepted.IsZero():
-		case j.cancelRequested && j.state != stateCanceled && j.state != stateDone, !j.cancelRequested && !j.spec.Lasts() && j.done.IsZero():
+		case j.cancelRequested && j.state != stateCanceled && j.state != stateDone, !j.cancelRequested && !j.spec.LongRunning() && j.done.IsZero():
 			found = append(found, fmt.Sprintf("accepted: job %s is %s", id, j.state))
-		case !j.cancelRequested && j.spec.Lasts():
+		case !j.cancelRequested && j.spec.LongRunning():
 			for _, task := range tasksOf(j.spec) {
 				if runs := h.tasks[task.String()]; !slices.ContainsFunc(runs, func(s *span) bool { return s.to.IsZero() }) {
 					found = append(found, fmt.Sprintf("accepted: %s does not run", task))
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -155,7 +155,7 @@
 func (b *testbed) checkFinalState(seedCtx context.Context) []string {
 	c := b.callers[0]
 	unfinished := b.awaitOutcomes(seedCtx)
-	for _, id := range b.registry.jobIDs(func(r *record) bool { return r.pending() && r.spec.Lasts() }) {
+	for _, id := range b.registry.jobIDs(func(r *record) bool { return r.pending() && r.spec.LongRunning() }) {
 		b.background.Go(func() { c.cancel(seedCtx, id) })
 	}
 	wait(seedCtx, cancelBound+stopTime+time.Second)
@@ -170,7 +170,7 @@
 	c := b.callers[0]
 	for until := time.Now().Add(completionBound); time.Now().Before(until) && seedCtx.Err() == nil; wait(seedCtx, pollInterval) {
 		for _, id := range b.registry.jobIDs(func(r *record) bool {
-			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCanceled && (r.cancelRequested || !r.spec.Lasts())
+			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCanceled && (r.cancelRequested || !r.spec.LongRunning())
 		}) {
 			c.checkState(seedCtx, id)
 		}
@@ -186,7 +186,7 @@
 	b.t.Helper()
 	count := func(want func(*record) bool) int { return len(b.registry.jobIDs(want)) }
 	b.t.Logf("seed %d: %d jobs, %d refused, %d long-running, %d done, %d cancelled, %d events of executors", b.seed,
-		count(func(*record) bool { return true }), count(func(r *record) bool { return r.refused }), count(func(r *record) bool { return r.spec.Lasts() }),
+		count(func(*record) bool { return true }), count(func(r *record) bool { return r.refused }), count(func(r *record) bool { return r.spec.LongRunning() }),
 		count(func(r *record) bool { return !r.done.IsZero() }), count(func(r *record) bool { return !r.acked.IsZero() }), len(b.JobEvents()))
 	if len(findings) == 0 {
 		return
