--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -40,11 +40,11 @@
 	// without waiting for that lease to expire. The epoch alone must then protect
 	// whatever an owner does, because the earlier lease may still be valid.
 	ReplaceOwn bool
-	// Patience is the minimum time that this process leaves a vacant cell to other
+	// ClaimDelay is the minimum time that this process leaves a vacant cell to other
 	// processes before it tries to acquire it. While the store is slow the delay is
 	// longer, up to the length of the lease.
-	Patience time.Duration
-	Now      func() time.Time
+	ClaimDelay time.Duration
+	Now        func() time.Time
 	// Store calls; FromKeeper sets them.
 	FindRecords    func(ctx context.Context, o keeper.ListOptions) (keeper.ListResult, error)
 	GetRecord      func(ctx context.Context, key string) (keeper.Record, error)
@@ -118,7 +118,7 @@
 // Acquire waits until this process holds the ownership. The owner's record has no
 // epoch until Publish is called.
 func (e *Elector) Acquire(ctx context.Context) error {
-	for awaitFirst := e.config.Patience > 0; ; {
+	for awaitFirst := e.config.ClaimDelay > 0; ; {
 		if awaitFirst {
 			e.awaitVacancy(ctx)
 			if err := pauser.Pause(ctx, e.acquireDelay()); err != nil {
@@ -132,7 +132,7 @@
 		if err == nil && !heldByOther {
 			return nil
 		}
-		awaitFirst = heldByOther || e.config.Patience > 0
+		awaitFirst = heldByOther || e.config.ClaimDelay > 0
 		if err != nil {
 			_ = pauser.Pause(ctx, retryInterval)
 		}
@@ -141,10 +141,10 @@
 
 // acquireDelay returns how long this process currently leaves a vacant cell to others.
 func (e *Elector) acquireDelay() time.Duration {
-	if e.config.Patience <= 0 {
+	if e.config.ClaimDelay <= 0 {
 		return 0
 	}
-	return max(e.config.Patience, min(takeoverCalls*e.readLatency, e.config.Lease))
+	return max(e.config.ClaimDelay, min(takeoverCalls*e.readLatency, e.config.Lease))
 }
 
 // tryAcquire tries once to acquire the ownership; heldByOther means that another process
--- a/internal/control/elector/elector_test.go
+++ b/internal/control/elector/elector_test.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	acquired := make(chan error, 1)
-	small := New(FromKeeper(Config{Cell: "c", EntryID: "small", Lease: time.Second, Patience: 300 * time.Millisecond}, k))
+	small := New(FromKeeper(Config{Cell: "c", EntryID: "small", Lease: time.Second, ClaimDelay: 300 * time.Millisecond}, k))
 	go func() { acquired <- small.Acquire(ctx) }()
 	time.Sleep(50 * time.Millisecond)
 	large := New(FromKeeper(Config{Cell: "c", EntryID: "large", Lease: time.Second}, k))
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	calls = &atomic.Int64{}
-	c := FromKeeper(Config{Cell: "c", EntryID: "entry-2", Patience: patience}, k)
+	c := FromKeeper(Config{Cell: "c", EntryID: "entry-2", ClaimDelay: patience}, k)
 	watch, find, get := c.Watch, c.FindRecords, c.GetRecord
 	c.Watch = func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 		calls.Add(1)
--- a/internal/job/forwarder/forwarder.go
+++ b/internal/job/forwarder/forwarder.go
@@ -46,8 +46,8 @@
 
 func (ErrOwnerNotExist) Error() string { return "no owner of the cell is known" }
 
-// NotDone reports whether an error of Call proves that the call had no effect.
-func NotDone(err error) bool {
+// HadNoEffect reports whether an error of Call proves that the call had no effect.
+func HadNoEffect(err error) bool {
 	var none ErrOwnerNotExist
 	var dial dialError
 	code := connector.CodeOf(err)
--- a/internal/job/forwarder/forwarder_test.go
+++ b/internal/job/forwarder/forwarder_test.go
@@ -48,7 +48,7 @@
 	}
 	first.Store(<-opened)
 	began := time.Now()
-	if err := call(); err == nil || NotDone(err) {
+	if err := call(); err == nil || HadNoEffect(err) {
 		t.Errorf("call without an answer: got error %v, which must not prove that it had no effect", err)
 	}
 	if took := time.Since(began); took > 2*CallTimeout {
--- a/internal/job/planner/advise.go
+++ b/internal/job/planner/advise.go
@@ -17,16 +17,16 @@
 	ticketMargin = 300 * time.Millisecond
 )
 
-// Question is a request for tickets for a step.
-type Question struct {
+// AdviceRequest is a request for tickets for a step.
+type AdviceRequest struct {
 	Step *accountant.Step
 	VMs  []*accountant.VM
 }
 
-// Ask returns the most urgent request for the advising service, if there is one: for a step
+// NextAdviceRequest returns the most urgent request for the advising service, if there is one: for a step
 // without a valid ticket for any usable VM with enough free capacity. VMs with the most free
 // capacity come first. VMs that already have an answer without a valid ticket come last.
-func Ask(in Input) (Question, bool) {
+func NextAdviceRequest(in Input) (AdviceRequest, bool) {
 	for _, s := range order(in, in.State.WaitingSteps(in.Now)) {
 		if !s.Occurrence.Job.Queue.Advised || in.Now.Before(s.AdviseAt) {
 			continue
@@ -47,9 +47,9 @@
 		if hasTicket || len(candidates) == 0 {
 			continue
 		}
-		return Question{Step: s, VMs: selectVMs(s, candidates)}, true
+		return AdviceRequest{Step: s, VMs: selectVMs(s, candidates)}, true
 	}
-	return Question{}, false
+	return AdviceRequest{}, false
 }
 
 func selectVMs(s *accountant.Step, candidates []*vmState) []*accountant.VM {
--- a/internal/job/planner/advise_test.go
+++ b/internal/job/planner/advise_test.go
@@ -42,7 +42,7 @@
 					t.Errorf("task starts on %s with ticket %q", s.VM.Name, s.Ticket)
 				}
 			}
-			q, ok := Ask(Input{Now: begin, State: b.state})
+			q, ok := NextAdviceRequest(Input{Now: begin, State: b.state})
 			if ok != (tt.requested > 0) || len(q.VMs) != tt.requested {
 				t.Errorf("request names %d VMs", len(q.VMs))
 			}
@@ -57,7 +57,7 @@
 	}
 	j := b.job("q", specifier.Step{Count: 1, Needs: cores(1)})
 	j.Occurrences[0].Steps[0].Tickets = map[string]accountant.Ticket{"one": {Incarnation: "1"}}
-	q, _ := Ask(Input{Now: begin, State: b.state})
+	q, _ := NextAdviceRequest(Input{Now: begin, State: b.state})
 	if len(q.VMs) != 2 || q.VMs[0].Name != "two" {
 		t.Errorf("request names %v", q.VMs)
 	}
--- a/internal/job/planner/cache.go
+++ b/internal/job/planner/cache.go
@@ -7,12 +7,12 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Memory caches results between rounds that are expensive to compute and change little: the
+// Cache caches results between rounds that are expensive to compute and change little: the
 // headroom left to the long-running tasks of a VM, and the processors that best-effort images
 // may use. Computed for all VMs in each round, these would delay starts on a large fleet if
 // the owner has little processor time. A nil Memory caches nothing. It is used by one
 // goroutine.
-type Memory struct {
+type Cache struct {
 	vms         map[string]cachedVM
 	demand      *demandModel
 	fleetUsable []float64
@@ -20,8 +20,8 @@
 	demandAt    time.Time
 }
 
-// NewMemory returns an empty Memory.
-func NewMemory() *Memory { return &Memory{vms: make(map[string]cachedVM)} }
+// NewCache returns an empty Memory.
+func NewCache() *Cache { return &Cache{vms: make(map[string]cachedVM)} }
 
 // cacheTTL is how long an entry is valid: reports arrive at this interval.
 const cacheTTL = 250 * time.Millisecond
@@ -34,7 +34,7 @@
 }
 
 // restore sets the neighbours of a VM if the cached ones are still valid.
-func (c *Memory) restore(m *vmState) {
+func (c *Cache) restore(m *vmState) {
 	if c == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 
 // storeNeighbours caches the headroom of the long-running tasks of a VM before the round
 // places anything there.
-func (c *Memory) storeNeighbours(vm *accountant.VM, now time.Time, all []neighbour) {
+func (c *Cache) storeNeighbours(vm *accountant.VM, now time.Time, all []neighbour) {
 	if c == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	if r.demand != nil {
 		return r.demand
 	}
-	c := r.in.Memory
+	c := r.in.Cache
 	if c != nil && c.demand != nil && r.now.Sub(c.demandAt) < cacheTTL {
 		r.demand, r.fleetUsable, r.fleetServed = c.demand, c.fleetUsable, c.fleetServed
 		return r.demand
--- a/internal/job/planner/cache_test.go
+++ b/internal/job/planner/cache_test.go
@@ -16,7 +16,7 @@
 func TestCacheDoesNotChangePlacement(t *testing.T) {
 	in, b := busyFleet(11)
 	cached := in
-	cached.Memory = NewMemory()
+	cached.Cache = NewCache()
 	for round := range 12 {
 		now := begin.Add(2*time.Second + time.Duration(round)*20*time.Millisecond)
 		in.Now, cached.Now = now, now
@@ -37,12 +37,12 @@
 func TestChangedVMIsNotCached(t *testing.T) {
 	f := newMixedFleet(2)
 	f.submitBestEffort("x")
-	in := Input{Now: begin, State: f.state, Learner: f.learner, Memory: NewMemory()}
+	in := Input{Now: begin, State: f.state, Learner: f.learner, Cache: NewCache()}
 	Plan(in)
 	vm := f.vms[0]
 	isCached := func(now time.Time) bool {
 		m := newVMState(vm, now)
-		in.Memory.restore(m)
+		in.Cache.restore(m)
 		return m.neighboursKnown
 	}
 	if !isCached(begin) {
--- a/internal/job/planner/interference.go
+++ b/internal/job/planner/interference.go
@@ -24,8 +24,8 @@
 	bestEffortUtilization = 0.85
 )
 
-// Learn passes the measurements of a VM's report to the learner.
-func Learn(l *learner.Learner, vm *accountant.VM, now time.Time) {
+// ObserveReport passes the measurements of a VM's report to the learner.
+func ObserveReport(l *learner.Learner, vm *accountant.VM, now time.Time) {
 	var use learner.Use
 	for _, r := range vm.Runs {
 		if !hasMeasuredTail(r) || r.Step().Spec.Image == "" || now.Sub(r.StartedAt) < warmUp {
@@ -108,7 +108,7 @@
 	if !m.neighboursKnown {
 		m.neighbours, m.neighboursKnown = r.neighboursOf(m.vm), true
 		if m.placed == 0 {
-			r.in.Memory.storeNeighbours(m.vm, r.now, m.neighbours)
+			r.in.Cache.storeNeighbours(m.vm, r.now, m.neighbours)
 		}
 	}
 	share := m.expectedShare(s.Spec)
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -34,9 +34,9 @@
 	// moveTimeout is how long after the end of its hold a moving task is waited for before
 	// others may move.
 	moveTimeout = 3 * time.Second
-	// MoveHold is how long capacity on the destination VM is held for a moving task after its
+	// moveHold is how long capacity on the destination VM is held for a moving task after its
 	// run has ended.
-	MoveHold = 1500 * time.Millisecond
+	moveHold = 1500 * time.Millisecond
 )
 
 // Move is a long-running run that should be stopped and started again on another VM.
@@ -47,9 +47,9 @@
 	Gain float64          // thousandths of a core gained by best-effort tasks, per run of the move
 }
 
-// Moving returns the record of the move to store in its task.
-func (m Move) Moving(now time.Time) accountant.Relocation {
-	return accountant.Relocation{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: MoveHold, Until: now.Add(MoveHold)}
+// Relocation returns the record of the move to store in its task.
+func (m Move) Relocation(now time.Time) accountant.Relocation {
+	return accountant.Relocation{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: moveHold, Until: now.Add(moveHold)}
 }
 
 // group holds the long-running runs of one image on a VM. They move together: any one that
@@ -82,7 +82,7 @@
 	if ongoing.unavailable >= ongoing.limit || ongoing.unavailable > 0 && ongoing.limit == maxMoving {
 		return nil
 	}
-	in.Memory = nil // moves are rare and must be based on the present state
+	in.Cache = nil // moves are rare and must be based on the present state
 	r := newRound(in)
 	r.loadVMs()
 	r.placeOverdue(in.State.WaitingSteps(in.Now)) // capacity that these get or wait for is not available to moves
--- a/internal/job/planner/move_test.go
+++ b/internal/job/planner/move_test.go
@@ -153,10 +153,10 @@
 		}, false},
 		{"one has failed", func(f *mixedFleet) { f.fail() }, true},
 		{"one moves and is not running yet", func(f *mixedFleet) {
-			f.fail().Relocation = accountant.Relocation{To: "2", Until: begin.Add(MoveHold)}
+			f.fail().Relocation = accountant.Relocation{To: "2", Until: begin.Add(moveHold)}
 		}, false},
 		{"one has moved and is running", func(f *mixedFleet) {
-			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Relocation = accountant.Relocation{To: "1", Until: begin.Add(MoveHold)}
+			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Relocation = accountant.Relocation{To: "1", Until: begin.Add(moveHold)}
 		}, true},
 		{"no other task may be unavailable", func(f *mixedFleet) {
 			for _, j := range f.jobs {
@@ -210,12 +210,12 @@
 	f.vm("spare", "in", "r1", cores(32))
 	run := longRunningRunsOf(f.vms[0], "a")[0]
 	task := run.Task
-	task.Relocation = accountant.Relocation{To: f.vms[1].Name, Until: begin.Add(MoveHold)}
+	task.Relocation = accountant.Relocation{To: f.vms[1].Name, Until: begin.Add(moveHold)}
 	f.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", begin)
 	if got := f.plan(begin); len(got) != 0 {
 		t.Fatalf("starts on %s while its place is taken", got[0].VM.Name)
 	}
-	if got := f.plan(begin.Add(MoveHold)); len(got) != 1 {
+	if got := f.plan(begin.Add(moveHold)); len(got) != 1 {
 		t.Fatalf("%d tasks start after the wait", len(got))
 	}
 	other := longRunningRunsOf(f.vms[1], "b")[0]
@@ -310,7 +310,7 @@
 						t.Fatalf("%s takes part in two moves", m.Run.VM.Name)
 					}
 					from[m.Run.VM.Name], from[m.To.Name] = true, true
-					f.state.SetRelocation(m.Run.Task, m.Moving(begin), begin)
+					f.state.SetRelocation(m.Run.Task, m.Relocation(begin), begin)
 					f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
 					unavailable++
 				}
@@ -341,9 +341,9 @@
 	run := mover.Runs[0]
 	move := Move{Run: run, To: to, For: next.Step}
 	b.state.Stop(run, "moves", begin)
-	b.state.SetRelocation(mover, move.Moving(begin), begin)
+	b.state.SetRelocation(mover, move.Relocation(begin), begin)
 	b.urgent("q", 24)
-	late := begin.Add(2 * MoveHold)
+	late := begin.Add(2 * moveHold)
 	if got := b.plan(late); len(got) != 0 {
 		t.Fatalf("%d tasks start on the capacity of the move", len(got))
 	}
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -47,10 +47,10 @@
 	Now     time.Time
 	State   *accountant.Accountant
 	Learner *learner.Learner // nil if no effects of images are known
-	// PressedAt is when an urgent task last had waited too long for capacity.
-	PressedAt time.Time
-	// Memory caches results between rounds; if it is nil, each round computes them anew.
-	Memory *Memory
+	// UrgentDelayedAt is when an urgent task last had waited too long for capacity.
+	UrgentDelayedAt time.Time
+	// Cache caches results between rounds; if it is nil, each round computes them anew.
+	Cache *Cache
 }
 
 // vmState is the capacity of a VM during a round, after the tasks placed in the round.
@@ -101,7 +101,7 @@
 	for _, vm := range r.state.VMs {
 		if acceptsTasks(vm, r.in) {
 			m := newVMState(vm, r.now)
-			r.in.Memory.restore(m)
+			r.in.Cache.restore(m)
 			r.vmStates = append(r.vmStates, m)
 		}
 	}
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -39,7 +39,7 @@
 }
 
 // underPressure reports whether urgent tasks recently waited too long for capacity.
-func (r *round) underPressure() bool { return r.now.Sub(r.in.PressedAt) < yieldCooldown }
+func (r *round) underPressure() bool { return r.now.Sub(r.in.UrgentDelayedAt) < yieldCooldown }
 
 // overdue reports whether a long-running task that was running has been unavailable for too
 // long.
--- a/internal/job/planner/reservation_test.go
+++ b/internal/job/planner/reservation_test.go
@@ -55,14 +55,14 @@
 		in := Input{Now: r.now, State: r.state}
 		yields, underPressure := Yields(in)
 		if underPressure {
-			in.PressedAt = r.now
+			in.UrgentDelayedAt = r.now
 		}
 		for _, run := range yields {
 			run.Task.Yielded = true
 			r.stop(run)
 		}
-		for _, t := range Turns(in) {
-			r.state.SetRelocation(t.Task, t.Moving(r.now), r.now)
+		for _, t := range Rotations(in) {
+			r.state.SetRelocation(t.Task, t.Relocation(r.now), r.now)
 			t.Run.Task.Yielded = true
 			r.stop(t.Run)
 		}
@@ -139,12 +139,12 @@
 	}{
 		{"moved", false, func(r *overload, task *accountant.Task) {
 			run := task.Runs[0]
-			r.state.SetRelocation(task, accountant.Relocation{To: "j", Until: r.now.Add(MoveHold)}, r.now)
+			r.state.SetRelocation(task, accountant.Relocation{To: "j", Until: r.now.Add(moveHold)}, r.now)
 			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
-		}, MoveHold},
+		}, moveHold},
 		{"moved to a VM that was removed", false, func(r *overload, task *accountant.Task) {
 			run := task.Runs[0]
-			r.state.SetRelocation(task, accountant.Relocation{To: "removed", Until: r.now.Add(MoveHold)}, r.now)
+			r.state.SetRelocation(task, accountant.Relocation{To: "removed", Until: r.now.Add(moveHold)}, r.now)
 			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
 		}, returnAfterPressure + returnBound},
 		{"yielded", false, yield, returnAfterPressure + returnBound},
@@ -282,7 +282,7 @@
 		{"no urgent task waits", time.Minute, false, func(*fixture, []*accountant.Job) {}, 0},
 		{"a rotation for it is under way", returnAfterPressure, true, func(b *fixture, longRunning []*accountant.Job) {
 			task := longRunning[0].Occurrences[0].Steps[0].Tasks[0]
-			b.state.SetRelocation(task, Rotation{Run: longRunning[1].Occurrences[0].Steps[0].Tasks[0].Runs[0]}.Moving(begin), begin)
+			b.state.SetRelocation(task, Rotation{Run: longRunning[1].Occurrences[0].Steps[0].Tasks[0].Runs[0]}.Relocation(begin), begin)
 		}, 0},
 		{"no other task may be unavailable", returnAfterPressure, true, func(_ *fixture, longRunning []*accountant.Job) {
 			for _, j := range longRunning[1:] {
@@ -300,9 +300,9 @@
 			tt.change(b, longRunning)
 			in := Input{Now: begin, State: b.state}
 			if tt.underPressure {
-				in.PressedAt = begin
+				in.UrgentDelayedAt = begin
 			}
-			rotations := Turns(in)
+			rotations := Rotations(in)
 			if len(rotations) != tt.want {
 				t.Fatalf("%d rotations, want %d", len(rotations), tt.want)
 			}
--- a/internal/job/planner/rotation.go
+++ b/internal/job/planner/rotation.go
@@ -29,13 +29,13 @@
 	Task *accountant.Task
 }
 
-// Moving returns the record of the rotation to store in the task that starts again.
-func (t Rotation) Moving(now time.Time) accountant.Relocation {
+// Relocation returns the record of the rotation to store in the task that starts again.
+func (t Rotation) Relocation(now time.Time) accountant.Relocation {
 	return accountant.Relocation{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
 }
 
-// Turns returns the rotations to carry out while urgent tasks wait for capacity.
-func Turns(in Input) (rotations []Rotation) {
+// Rotations returns the rotations to carry out while urgent tasks wait for capacity.
+func Rotations(in Input) (rotations []Rotation) {
 	r := newRound(in)
 	if !r.underPressure() {
 		return nil
--- a/internal/job/planner/throttle_test.go
+++ b/internal/job/planner/throttle_test.go
@@ -75,7 +75,7 @@
 			over += simulationStep
 		}
 		if v.learner != nil {
-			Learn(v.learner, v.vm, now)
+			ObserveReport(v.learner, v.vm, now)
 		}
 		for _, p := range Paces(Input{Now: now, State: v.state, Learner: v.learner}) {
 			p.Run.Pace = p.Percent
--- a/internal/job/planner/yield_test.go
+++ b/internal/job/planner/yield_test.go
@@ -117,17 +117,17 @@
 	task.Yielded = true
 	b.state.EndRun(runs[0].VM, runs[0].Key(), accountant.EndStopped, "", begin)
 	at := begin.Add(yieldAfter)
-	for _, s := range Plan(Input{Now: at, State: b.state, PressedAt: at}) {
+	for _, s := range Plan(Input{Now: at, State: b.state, UrgentDelayedAt: at}) {
 		if s.Task == task {
 			t.Error("the yielded task starts before the urgent tasks")
 		}
 		r := b.state.Place(s.Task, s.VM, s.Number, at)
 		b.state.EndRun(s.VM, r.Key(), accountant.EndDone, "", at)
 	}
-	if got := Plan(Input{Now: at.Add(yieldCooldown / 2), State: b.state, PressedAt: at}); len(got) != 0 {
+	if got := Plan(Input{Now: at.Add(yieldCooldown / 2), State: b.state, UrgentDelayedAt: at}); len(got) != 0 {
 		t.Errorf("the yielded task starts %s after the last urgent task waited", yieldCooldown/2)
 	}
-	if got := Plan(Input{Now: at.Add(yieldCooldown), State: b.state, PressedAt: at}); len(got) != 1 || got[0].Task != task {
+	if got := Plan(Input{Now: at.Add(yieldCooldown), State: b.state, UrgentDelayedAt: at}); len(got) != 1 || got[0].Task != task {
 		t.Errorf("starts %v, want the yielded task", vmsByTask(got))
 	}
 }
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -44,10 +44,10 @@
 
 // Outcomes.
 const (
-	Accepted  Outcome = iota // stored, by this or an earlier submission
-	Refused                  // certainly not stored, and never will be by this request
-	Unsettled                // unknown; the caller may repeat the request with the same id
-	NotExist                 // the job does not exist
+	Accepted       Outcome = iota // stored, by this or an earlier submission
+	Refused                       // certainly not stored, and never will be by this request
+	OutcomeUnknown                // unknown; the caller may repeat the request with the same id
+	NotExist                      // the job does not exist
 )
 
 // Result is the answer to a caller.
@@ -64,8 +64,8 @@
 	StoreAge  func() time.Duration // time since the last contact with the store
 	StoreLost func() bool          // the latest calls to the store all failed
 	CallOwner func(ctx context.Context, method string, params, result any) error
-	// NotDone reports whether an error of CallOwner proves that the call had no effect.
-	NotDone func(error) bool
+	// HadNoEffect reports whether an error of CallOwner proves that the call had no effect.
+	HadNoEffect func(error) bool
 	// NotOwner reports whether an error of CallOwner came from an entry that has lost the
 	// ownership: the store is unavailable to more than this entry.
 	NotOwner func(error) bool
@@ -90,7 +90,7 @@
 	switch res.Outcome {
 	case Accepted:
 		r.config.Reporter.Report(reporter.JobAccepted, reporter.Fields{"job": j.ID, "queue": j.Queue, "steps": len(j.Steps), "store-age": r.config.StoreAge().String()})
-	case Unsettled:
+	case OutcomeUnknown:
 		r.config.Reporter.Report(reporter.JobUnsettled, reporter.Fields{"job": j.ID, "reason": res.Reason})
 	case Refused, NotExist:
 		return r.refuse(j.ID, res)
@@ -124,20 +124,20 @@
 	case err != nil && r.config.NotOwner(err):
 		res.RetryAfter = r.outageRetryAfter()
 		return res
-	case err != nil && r.config.NotDone(err):
+	case err != nil && r.config.HadNoEffect(err):
 		return res
 	case err != nil:
-		return Result{Outcome: Unsettled, Reason: err.Error()}
+		return Result{Outcome: OutcomeUnknown, Reason: err.Error()}
 	case a.Outcome == messenger.WorkStored:
 		return Result{Outcome: Accepted, Reason: "stored by the owner"}
 	case a.Outcome == messenger.WorkRefused:
 		return Result{Outcome: Refused, Reason: a.Reason, RetryAfter: r.outageRetryAfter()}
 	}
-	return Result{Outcome: Unsettled, Reason: a.Reason}
+	return Result{Outcome: OutcomeUnknown, Reason: a.Reason}
 }
 
-// StoreFor stores a record for an entry that cannot reach the store.
-func (r *Receiver) StoreFor(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
+// StoreForEntry stores a record for an entry that cannot reach the store.
+func (r *Receiver) StoreForEntry(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
 	if !strings.HasPrefix(q.Key, scheduler.WorkPrefix) {
 		return messenger.WorkStoreReply{Outcome: messenger.WorkRefused, Reason: "not a key of a job"}
 	}
@@ -148,7 +148,7 @@
 		outcome = messenger.WorkStored
 	case Refused:
 		outcome = messenger.WorkRefused
-	case Unsettled, NotExist:
+	case OutcomeUnknown, NotExist:
 	}
 	return messenger.WorkStoreReply{Outcome: outcome, Reason: res.Reason}
 }
@@ -186,7 +186,7 @@
 			pause = lostStoreRetryDelay
 		}
 		if pauser.Pause(ctx, pause) != nil {
-			return Result{Outcome: Unsettled, Reason: err.Error()}
+			return Result{Outcome: OutcomeUnknown, Reason: err.Error()}
 		}
 	}
 }
@@ -275,7 +275,7 @@
 	switch res.Outcome {
 	case Accepted:
 		r.config.Reporter.Report(reporter.JobCancelAccepted, reporter.Fields{"job": id})
-	case Refused, Unsettled, NotExist:
+	case Refused, OutcomeUnknown, NotExist:
 		r.config.Reporter.Report(reporter.JobAnswerFailed, reporter.Fields{"job": id, "store-error": res.Reason})
 		res.RetryAfter = max(res.RetryAfter, minRetryAfter)
 	}
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -64,13 +64,13 @@
 		owner = func(string, any) error { return errors.New("no owner") }
 	}
 	return New(Config{
-		Store:     keeper.Calls{Transact: f.transact, GetRecord: f.get},
-		StoreAge:  func() time.Duration { return age },
-		StoreLost: func() bool { return f.lost },
-		CallOwner: func(_ context.Context, method string, _, result any) error { return owner(method, result) },
-		NotDone:   func(error) bool { return true },
-		NotOwner:  func(err error) bool { return errors.Is(err, errNotOwner) },
-		Now:       time.Now, Reporter: reporter.Discard(),
+		Store:       keeper.Calls{Transact: f.transact, GetRecord: f.get},
+		StoreAge:    func() time.Duration { return age },
+		StoreLost:   func() bool { return f.lost },
+		CallOwner:   func(_ context.Context, method string, _, result any) error { return owner(method, result) },
+		HadNoEffect: func(error) bool { return true },
+		NotOwner:    func(err error) bool { return errors.Is(err, errNotOwner) },
+		Now:         time.Now, Reporter: reporter.Discard(),
 	})
 }
 
@@ -93,8 +93,8 @@
 		{"certainly not stored", []error{busy}, 0, Refused, 1, false},
 		{"answer lost, then a conflict", []error{lost, exists}, 0, Accepted, 2, false},
 		{"answer lost, then stored", []error{lost, nil}, 0, Accepted, 2, false},
-		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, Unsettled, 0, false},
-		{"all answers lost", []error{lost}, 0, Unsettled, 0, false},
+		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, OutcomeUnknown, 0, false},
+		{"all answers lost", []error{lost}, 0, OutcomeUnknown, 0, false},
 		{"store not reached for long", nil, time.Minute, Refused, 0, false},
 		{"store lost recently", nil, 0, Refused, 0, true},
 	}
@@ -130,9 +130,9 @@
 	}{
 		{"stored", messenger.WorkStored, nil, false, Accepted},
 		{"refused at the owner too", messenger.WorkRefused, nil, false, Refused},
-		{"outcome unknown at the owner", messenger.WorkUnsettled, nil, false, Unsettled},
+		{"outcome unknown at the owner", messenger.WorkUnsettled, nil, false, OutcomeUnknown},
 		{"owner not reached", "", errors.New("refused"), true, Refused},
-		{"owner's answer lost", "", errors.New("lost"), false, Unsettled},
+		{"owner's answer lost", "", errors.New("lost"), false, OutcomeUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -142,7 +142,7 @@
 				}
 				return tt.err
 			})
-			r.config.NotDone = func(error) bool { return tt.notDone }
+			r.config.HadNoEffect = func(error) bool { return tt.notDone }
 			if res := r.Submit(t.Context(), &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}}); res.Outcome != tt.want {
 				t.Errorf("outcome %d (%s), want %d", res.Outcome, res.Reason, tt.want)
 			}
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -24,7 +24,7 @@
 	if o.advicePending || o.s.config.Advise == nil {
 		return
 	}
-	q, ok := planner.Ask(planner.Input{Now: now, State: o.state})
+	q, ok := planner.NextAdviceRequest(planner.Input{Now: now, State: o.state})
 	if !ok {
 		return
 	}
@@ -48,7 +48,7 @@
 
 // adviceResult is the answer of the advising service.
 type adviceResult struct {
-	question     planner.Question
+	question     planner.AdviceRequest
 	step         string
 	incarnations map[string]string // of the workers at the time of the request, by VM
 	until        time.Time
--- a/internal/job/scheduler/bench_test.go
+++ b/internal/job/scheduler/bench_test.go
@@ -19,7 +19,7 @@
 // BenchmarkReport measures the handling of a report of a busy VM (14 runs and one new end) from
 // the agent's call to the owner's reply over a connection, including decoding and accounting.
 func BenchmarkReport(b *testing.B) {
-	s := New(Config{Cell: "c", EntryID: "e", Now: time.Now, Reporter: reporter.Discard(), Policy: func() *specifier.Policy { return &specifier.Policy{} }, Store: keeper.Calls{}, Meters: nil})
+	s := New(Config{Cell: "c", EntryID: "e", Now: time.Now, Reporter: reporter.Discard(), Policy: func() *specifier.Policy { return &specifier.Policy{} }, Store: keeper.Calls{}, Metrics: nil})
 	o := newOwner(s, 1, accountant.New(accountant.Config{}), time.Now())
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -148,7 +148,7 @@
 		o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"jobs": len(e.flush.Jobs), "error": e.err.Error()})
 		return
 	}
-	o.s.config.Meters.progressWritten(e.took)
+	o.s.config.Metrics.progressWritten(e.took)
 	o.s.config.Reporter.Report(reporter.ProgressStored, reporter.Fields{"jobs": len(e.flush.Jobs), "took": e.took.String()})
 }
 
--- a/internal/job/scheduler/meters.go
+++ b/internal/job/scheduler/metrics.go
@@ -9,19 +9,19 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Meters counts an owner's decisions. A nil Meters counts nothing.
-type Meters struct{ set *metrics.Set }
+// Metrics counts an owner's decisions. A nil Meters counts nothing.
+type Metrics struct{ set *metrics.Set }
 
-// NewMeters returns Meters that registers its metrics in set.
-func NewMeters(set *metrics.Set) *Meters { return &Meters{set: set} }
+// NewMetrics returns Meters that registers its metrics in set.
+func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (m *Meters) runEnded(how accountant.End) {
+func (m *Metrics) runEnded(how accountant.End) {
 	if m != nil {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`bamboospread_job_runs_ended_total{how=%q}`, how)).Inc()
 	}
 }
 
-func (m *Meters) runStarted(r *accountant.Run, now time.Time) {
+func (m *Metrics) runStarted(r *accountant.Run, now time.Time) {
 	if m == nil {
 		return
 	}
@@ -30,7 +30,7 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`bamboospread_job_wait_seconds{queue=%q}`, queue)).Update(now.Sub(r.Task.WaitSince).Seconds())
 }
 
-func (m *Meters) jobEnded(j *accountant.Job, now time.Time) {
+func (m *Metrics) jobEnded(j *accountant.Job, now time.Time) {
 	if m == nil {
 		return
 	}
@@ -38,13 +38,13 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`bamboospread_job_turnaround_seconds{queue=%q}`, j.Spec.Queue)).Update(now.Sub(j.Spec.Due(0)).Seconds())
 }
 
-func (m *Meters) stopsOverdue(runs int) {
+func (m *Metrics) stopsOverdue(runs int) {
 	if m != nil {
 		m.set.GetOrCreateGauge("bamboospread_job_stops_overdue", nil).Set(float64(runs))
 	}
 }
 
-func (m *Meters) progressWritten(took time.Duration) {
+func (m *Metrics) progressWritten(took time.Duration) {
 	if m != nil {
 		m.set.GetOrCreateHistogram("bamboospread_job_progress_write_seconds").Update(took.Seconds())
 	}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -73,7 +73,7 @@
 
 	state               *accountant.Accountant
 	learner             *learner.Learner
-	memory              *planner.Memory
+	memory              *planner.Cache
 	sessions            map[string]*session  // by VM
 	cancelled           map[string]bool      // stored cancellations, also of jobs that are not known yet
 	members             map[string]bool      // VMs that are stored as members and may be granted leases
@@ -104,7 +104,7 @@
 
 func newOwner(s *Scheduler, epoch int64, state *accountant.Accountant, now time.Time) *owner {
 	return &owner{
-		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, memory: planner.NewMemory(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
+		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, memory: planner.NewCache(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
 		restorers: make(map[*connector.Conn]*abridger.Restorer),
 		sessions:  make(map[string]*session), cancelled: make(map[string]bool), members: make(map[string]bool), listed: make(map[string]bool),
 		joining: make(map[string]bool), leaving: make(map[string]bool), unreported: make(map[string]bool), reportedQuarantines: make(map[string]time.Time), waitReportedAt: make(map[string]time.Time), dirty: true, removeEndedAt: now.Add(removeEndedInterval),
@@ -136,7 +136,7 @@
 		close(o.done)
 		<-followed
 		o.closeSessions()
-		o.s.config.Meters.stopsOverdue(0)
+		o.s.config.Metrics.stopsOverdue(0)
 	}()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -284,7 +284,7 @@
 
 func (o *owner) reportOverdueStops(now time.Time) {
 	overdue := o.state.OverdueStops(stopOverdueAfter, now)
-	o.s.config.Meters.stopsOverdue(len(overdue))
+	o.s.config.Metrics.stopsOverdue(len(overdue))
 	for _, r := range overdue {
 		if !r.OverdueReported {
 			r.OverdueReported = true
@@ -308,7 +308,7 @@
 
 // input returns the input to a round of decisions.
 func (o *owner) input(now time.Time) planner.Input {
-	return planner.Input{Now: now, State: o.state, Learner: o.learner, PressedAt: o.urgentDelayedAt, Memory: o.memory}
+	return planner.Input{Now: now, State: o.state, Learner: o.learner, UrgentDelayedAt: o.urgentDelayedAt, Cache: o.memory}
 }
 
 func (o *owner) startWaitingTasks(now time.Time) {
@@ -342,7 +342,7 @@
 // reportEndedJobs logs and counts the jobs that have ended.
 func (o *owner) reportEndedJobs(now time.Time) {
 	for _, j := range o.state.TakeEnded() {
-		o.s.config.Meters.jobEnded(j, now)
+		o.s.config.Metrics.jobEnded(j, now)
 		o.s.config.Reporter.Report(reporter.JobEnded, reporter.Fields{"job": j.Spec.ID, "state": string(j.State), "queue": j.Spec.Queue, "turnaround": now.Sub(j.Spec.Due(0)).String()})
 	}
 }
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -36,7 +36,7 @@
 			cause = "moves for a lasting task"
 		}
 		if o.orderStop(m.Run, cause) {
-			o.state.SetRelocation(m.Run.Task, m.Moving(now), now)
+			o.state.SetRelocation(m.Run.Task, m.Relocation(now), now)
 		}
 	}
 }
@@ -55,10 +55,10 @@
 // rotate stops long-running tasks so that others that have been unavailable for long can start
 // in their place.
 func (o *owner) rotate(now time.Time) {
-	for _, t := range planner.Turns(o.input(now)) {
+	for _, t := range planner.Rotations(o.input(now)) {
 		if o.orderStop(t.Run, "takes turns with a lasting task") {
 			t.Run.Task.Yielded = true
-			o.state.SetRelocation(t.Task, t.Moving(now), now)
+			o.state.SetRelocation(t.Task, t.Relocation(now), now)
 		}
 	}
 }
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -60,20 +60,20 @@
 	Store   keeper.Calls
 	Lease   time.Duration // 0: DefaultLease
 	Grant   time.Duration // 0: DefaultGrant
-	// Patience is how long a vacant cell is left to other entries before this one claims it.
-	Patience time.Duration
-	Policy   func() *specifier.Policy
+	// ClaimDelay is how long a vacant cell is left to other entries before this one claims it.
+	ClaimDelay time.Duration
+	Policy     func() *specifier.Policy
 	// PolicyAge returns the time since the policy was last confirmed to be the newest; nil if
 	// it always is.
 	PolicyAge func() time.Duration
 	// Advise asks the advising service which workers may run a step and returns a ticket for
 	// each that may; nil without such a service.
 	Advise func(ctx context.Context, step string, workers []string) (map[string]string, error)
-	// StoreFor stores a record for an entry that cannot reach the store.
-	StoreFor func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
-	Now      func() time.Time // monotonic, includes time in suspension
-	Reporter *reporter.Reporter
-	Meters   *Meters
+	// StoreForEntry stores a record for an entry that cannot reach the store.
+	StoreForEntry func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
+	Now           func() time.Time // monotonic, includes time in suspension
+	Reporter      *reporter.Reporter
+	Metrics       *Metrics
 }
 
 // Scheduler competes for the ownership of a cell and schedules the cell's jobs while it holds
@@ -97,7 +97,7 @@
 		c.PolicyAge = func() time.Duration { return 0 }
 	}
 	e := elector.New(elector.Config{
-		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwn: true, Patience: c.Patience,
+		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwn: true, ClaimDelay: c.ClaimDelay,
 		FindRecords: c.Store.FindRecords, GetRecord: c.Store.GetRecord, CompareAndSwap: c.Store.CompareAndSwap, GrantLease: c.Store.GrantLease,
 		KeepAlive: c.Store.KeepAlive, RevokeLease: c.Store.RevokeLease, Watch: c.Store.Watch,
 	})
@@ -229,7 +229,7 @@
 		return serveCall(params, func(h messenger.WorkHint) (messenger.Empty, error) { return messenger.Empty{}, o.hint(ctx, h) })
 	case messenger.MethodWorkStore:
 		return serveCall(params, func(q messenger.WorkStoreRequest) (messenger.WorkStoreReply, error) {
-			return s.config.StoreFor(ctx, q), nil
+			return s.config.StoreForEntry(ctx, q), nil
 		})
 	case messenger.MethodWorkState:
 		return serveCall(params, func(r messenger.WorkStateRequest) (messenger.WorkStateReply, error) { return o.jobState(ctx, r) })
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -135,7 +135,7 @@
 	s.granted = e.report.Granted
 	delete(o.unreported, s.vm.Name)
 	o.reportChanges(s.vm, changes)
-	planner.Learn(o.learner, s.vm, now)
+	planner.ObserveReport(o.learner, s.vm, now)
 	o.dirty = o.dirty || changes.Any()
 	// A VM gets no grant before it is stored as a member: the next owner must know which VMs to
 	// wait for.
@@ -225,7 +225,7 @@
 // reportChanges logs and counts the changes of a report.
 func (o *owner) reportChanges(vm *accountant.VM, c accountant.Changes) {
 	for _, e := range c.Ended {
-		o.s.config.Meters.runEnded(e.Outcome)
+		o.s.config.Metrics.runEnded(e.Outcome)
 		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.Outcome), "end": e.Seq})
 	}
 	o.reportLost(vm, c.Lost, "not at the worker any more")
@@ -295,7 +295,7 @@
 		Seq: r.Order, Kind: messenger.WorkStart, Task: r.Key().Task.String(), Run: r.Number,
 		Payload: r.Step().Occurrence.Job.Spec.Payload, Checkpoint: r.Checkpoint, Ticket: start.Ticket, Needs: spec.Committed(),
 	})
-	o.s.config.Meters.runStarted(r, now)
+	o.s.config.Metrics.runStarted(r, now)
 	o.s.config.Reporter.Report(reporter.JobStartDecided, reporter.Fields{
 		"task": r.Key().Task.String(), "run": r.Number, "vm": start.VM.Name, "waited": now.Sub(start.Task.WaitSince).String(),
 		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.BestEffortCPU, "lasting": start.VM.LongRunning,
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -108,7 +108,7 @@
 func TestOverdueStopsGauge(t *testing.T) {
 	b := newStopFixture(t)
 	set := metrics.NewSet()
-	b.o.s.config.Meters = NewMeters(set)
+	b.o.s.config.Metrics = NewMetrics(set)
 	gauge := func() float64 { return set.GetOrCreateGauge("bamboospread_job_stops_overdue", nil).Get() }
 	b.sendReport()
 	b.cancel(sourceHint)
--- a/internal/operator/handler/jobs.go
+++ b/internal/operator/handler/jobs.go
@@ -77,7 +77,7 @@
 		writeJSON(w, http.StatusOK, JobAnswer{ID: id, Outcome: OutcomeDone, State: string(res.State)})
 	case receiver.NotExist:
 		writeError(w, http.StatusNotFound, ErrorAnswer{Error: "job " + strconv.Quote(id) + " does not exist", Outcome: OutcomeRefused})
-	case receiver.Unsettled:
+	case receiver.OutcomeUnknown:
 		writeError(w, http.StatusGatewayTimeout, ErrorAnswer{Error: res.Reason, Outcome: OutcomeUnknown})
 	case receiver.Refused:
 		writeError(w, http.StatusServiceUnavailable, ErrorAnswer{Error: res.Reason, Outcome: OutcomeUnavailable})
--- a/internal/service/hoster/entry.go
+++ b/internal/service/hoster/entry.go
@@ -65,16 +65,16 @@
 	e.scheduler = scheduler.New(scheduler.Config{
 		Cell: cell, EntryID: self.EntryID, Address: self.Address, Store: calls, Policy: e.follower.Policy, PolicyAge: e.follower.Age,
 		Advise: advise,
-		StoreFor: func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
-			return e.receiver.StoreFor(ctx, q)
+		StoreForEntry: func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
+			return e.receiver.StoreForEntry(ctx, q)
 		},
 		Grant: min(scheduler.DefaultGrant, c.Settings.LeaseMax), Lease: max(scheduler.DefaultLease, c.Settings.StoreLeaseMin),
-		Patience: claimDelay(c.Settings),
-		Now:      now, Reporter: c.Reporter, Meters: scheduler.NewMeters(e.metrics),
+		ClaimDelay: claimDelay(c.Settings),
+		Now:        now, Reporter: c.Reporter, Metrics: scheduler.NewMetrics(e.metrics),
 	})
 	e.forwarder = forwarder.New(forwarder.Config{Self: self, Owner: e.scheduler.Owner, Handle: e.scheduler.Handle, Reporter: c.Reporter})
 	e.receiver = receiver.New(receiver.Config{
-		Store: calls, StoreAge: observed.Age, StoreLost: observed.Lost, CallOwner: e.forwarder.Call, NotDone: forwarder.NotDone, NotOwner: forwarder.NotOwner, Now: now, Reporter: c.Reporter,
+		Store: calls, StoreAge: observed.Age, StoreLost: observed.Lost, CallOwner: e.forwarder.Call, HadNoEffect: forwarder.HadNoEffect, NotOwner: forwarder.NotOwner, Now: now, Reporter: c.Reporter,
 	})
 	return e
 }
--- a/internal/service/server/jobs.go
+++ b/internal/service/server/jobs.go
@@ -35,10 +35,10 @@
 	policy := policyOf(s.follower.Fleet)
 	s.jobs.scheduler = scheduler.New(scheduler.Config{
 		Cell: agent.JobsCell, EntryID: self.EntryID, Address: self.Address, Store: calls, Policy: policy, PolicyAge: s.follower.Age,
-		StoreFor: func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
-			return s.jobs.receiver.StoreFor(ctx, q)
+		StoreForEntry: func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply {
+			return s.jobs.receiver.StoreForEntry(ctx, q)
 		},
-		Now: timekeeper.Now, Reporter: c.Reporter, Meters: scheduler.NewMeters(s.metrics),
+		Now: timekeeper.Now, Reporter: c.Reporter, Metrics: scheduler.NewMetrics(s.metrics),
 	})
 	s.jobs.forwarder = forwarder.New(forwarder.Config{
 		Self: self, Owner: s.jobs.scheduler.Owner, Reporter: c.Reporter,
@@ -49,7 +49,7 @@
 	s.jobs.receiver = receiver.New(receiver.Config{
 		Store: calls, StoreLost: observed.Lost,
 		StoreAge:  func() time.Duration { return 0 }, // not measured: the only calls made regularly are watches, which wait for seconds
-		CallOwner: s.jobs.forwarder.Call, NotDone: forwarder.NotDone, NotOwner: forwarder.NotOwner, Now: timekeeper.Now, Reporter: c.Reporter,
+		CallOwner: s.jobs.forwarder.Call, HadNoEffect: forwarder.HadNoEffect, NotOwner: forwarder.NotOwner, Now: timekeeper.Now, Reporter: c.Reporter,
 	})
 }
 
