--- a/internal/agent/runner/order.go
+++ b/internal/agent/runner/order.go
@@ -212,9 +212,9 @@
 	switch {
 	case err == nil:
 		return nil
-	case driver.IsErrTooLate(err):
+	case driver.IsErrStartExpired(err):
 		return r.preventStart(ctx, o, messenger.ReportRefused, "order expired before it was executed")
-	case driver.IsErrAttemptOver(err):
+	case driver.IsErrAttemptEnded(err):
 		return r.preventStart(ctx, o, messenger.ReportRefused, "attempt has ended or a later one exists")
 	case driver.IsErrOutcomeUnknown(err):
 		return r.preventStart(ctx, o, messenger.ReportRefused, "the worker did not answer the start")
--- a/internal/demo/demonstrator/job.go
+++ b/internal/demo/demonstrator/job.go
@@ -113,7 +113,7 @@
 				}
 			case v.Kind == "end":
 				running[v.Task]--
-				if v.How == "done" {
+				if v.Outcome == "done" {
 					done[v.Task]++
 					if id.Step == 0 && v.At.After(lastFirst) {
 						lastFirst = v.At
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -142,7 +142,7 @@
 		return messenger.WorkStoreReply{Outcome: messenger.WorkRefused, Reason: "not a key of a job"}
 	}
 	res := r.createRecordDirectly(ctx, q.Key, q.Value)
-	outcome := messenger.WorkUnsettled
+	outcome := messenger.WorkOutcomeUnknown
 	switch res.Outcome {
 	case Accepted:
 		outcome = messenger.WorkStored
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -130,7 +130,7 @@
 	}{
 		{"stored", messenger.WorkStored, nil, false, Accepted},
 		{"refused at the owner too", messenger.WorkRefused, nil, false, Refused},
-		{"outcome unknown at the owner", messenger.WorkUnsettled, nil, false, OutcomeUnknown},
+		{"outcome unknown at the owner", messenger.WorkOutcomeUnknown, nil, false, OutcomeUnknown},
 		{"owner not reached", "", errors.New("refused"), true, Refused},
 		{"owner's answer lost", "", errors.New("lost"), false, OutcomeUnknown},
 	}
--- a/internal/job/scheduler/bench_test.go
+++ b/internal/job/scheduler/bench_test.go
@@ -47,13 +47,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := messenger.WorkReport{VM: "vm", Session: 1, Process: 1, Life: "1", Ready: true, Facts: &messenger.WorkFacts{Zone: "z", Rack: "r", Service: "s", Labels: []string{"a", "r1-3"}, Capacity: specifier.Resources{CPUMillis: 64_000, MemoryMB: 256_000}}}
+	r := messenger.WorkReport{VM: "vm", Session: 1, Process: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{Zone: "z", Rack: "r", Service: "s", Labels: []string{"a", "r1-3"}, Capacity: specifier.Resources{CPUMillis: 64_000, MemoryMB: 256_000}}}
 	for i := range 14 {
 		r.Runs = append(r.Runs, messenger.WorkRun{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", i), Run: 1, Confirmed: true, Checkpoint: "00000bb87a21d94b", Progress: 41, Measure: 6150})
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		r.Ends = []messenger.WorkEnd{{Seq: int64(n + 1), Task: "5c0e7a21d94b36f8.0.1.9", Run: 1, How: "done"}}
+		r.Ends = []messenger.WorkEnd{{Seq: int64(n + 1), Task: "5c0e7a21d94b36f8.0.1.9", Run: 1, Outcome: "done"}}
 		if err := conn.Call(ctx, messenger.MethodWorkReport, r, nil); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/job/scheduler/explain.go
+++ b/internal/job/scheduler/explain.go
@@ -17,7 +17,7 @@
 		}
 		a := messenger.WorkExplainReply{
 			Known: true, Job: r.Job, Queue: j.Spec.Queue, State: string(j.ReportedState()), Epoch: o.epoch,
-			Unsettled: !j.ReconcileAt.IsZero(), Occurrences: j.Spec.OccurrenceCount(), Finished: j.Finished,
+			Unreconciled: !j.ReconcileAt.IsZero(), Occurrences: j.Spec.OccurrenceCount(), Finished: j.Finished,
 		}
 		in := planner.Input{Now: o.s.config.Now(), State: o.state, Learner: o.learner}
 		for _, occurrence := range j.Occurrences {
--- a/internal/job/scheduler/members_test.go
+++ b/internal/job/scheduler/members_test.go
@@ -45,7 +45,7 @@
 		return 1, nil
 	})
 	c := new(connector.Conn)
-	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Life: "1", Ready: true, Facts: &messenger.WorkFacts{}}
+	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
 	store := func() {
 		o.storeMembers(t.Context())
 		if o.storingMembers {
@@ -84,7 +84,7 @@
 	o.started = time.Now().Add(-time.Minute)
 	o.checkVMContact(time.Now())
 	o.storeMembers(t.Context())
-	r := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Life: "1", Ready: true, Facts: &messenger.WorkFacts{}}
+	r := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
 	parsed, facts, err := parseReport(r)
 	if err != nil {
 		t.Fatal(err)
@@ -103,9 +103,9 @@
 func TestFactsOfNewIncarnationWithinSession(t *testing.T) {
 	o := newTestOwner(nil)
 	c := new(connector.Conn)
-	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Life: "1", Ready: true, Facts: &messenger.WorkFacts{WorkerID: "id-1", Capacity: specifier.Resources{CPUMillis: 1000}}}
+	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{WorkerID: "id-1", Capacity: specifier.Resources{CPUMillis: 1000}}}
 	applyReport(t, o, c, report)
-	report.Life, report.Facts = "2", &messenger.WorkFacts{WorkerID: "id-2", Capacity: specifier.Resources{CPUMillis: 2000}}
+	report.Incarnation, report.Facts = "2", &messenger.WorkFacts{WorkerID: "id-2", Capacity: specifier.Resources{CPUMillis: 2000}}
 	applyReport(t, o, c, report)
 	if vm := o.state.VMs["vm-1"]; vm.WorkerID != "id-2" || vm.Capacity.CPUMillis != 2000 {
 		t.Errorf("incarnation %s has id %s and %d thousandths of a core", vm.Incarnation, vm.WorkerID, vm.Capacity.CPUMillis)
--- a/internal/job/scheduler/orders_test.go
+++ b/internal/job/scheduler/orders_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	s.conn, s.reporter = <-opened, r
-	s.post(messenger.WorkOrders{Epoch: 2, Session: 1, Life: "1"})
+	s.post(messenger.WorkOrders{Epoch: 2, Session: 1, Incarnation: "1"})
 	select {
 	case <-agent.Done():
 	case <-time.After(3 * time.Second):
--- a/internal/job/scheduler/policy_test.go
+++ b/internal/job/scheduler/policy_test.go
@@ -34,7 +34,7 @@
 			o := newOwner(s, 1, state, now)
 			o.members["vm-1"] = true
 			r := messenger.WorkReport{
-				VM: "vm-1", Session: 1, Life: "1", Ready: true, Granted: true,
+				VM: "vm-1", Session: 1, Incarnation: "1", Ready: true, Granted: true,
 				Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 			}
 			parsed, facts, err := parseReport(r)
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -120,7 +120,7 @@
 		for _, r := range vm.UnconfirmedRuns() {
 			o.orderStop(r, "its start may still be on its way")
 		}
-		reply.Needs, reply.Doubts = runNeeds(vm), unconfirmedStarts(vm, now)
+		reply.Needs, reply.UnconfirmedStarts = runNeeds(vm), unconfirmedStarts(vm, now)
 		o.dirty = true
 		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Incarnation, "runs": len(vm.Runs), "ready": vm.Ready})
 	} else {
@@ -245,16 +245,16 @@
 }
 
 // unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
-func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkDoubt {
-	var all []messenger.WorkDoubt
+func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkUnconfirmedStart {
+	var all []messenger.WorkUnconfirmedStart
 	for _, d := range vm.InheritedStarts(now) {
-		all = append(all, messenger.WorkDoubt{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
+		all = append(all, messenger.WorkUnconfirmedStart{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
 	}
 	return all
 }
 
 func parseReport(r messenger.WorkReport) (accountant.Report, accountant.VMInfo, error) {
-	rep := accountant.Report{Incarnation: r.Life, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
+	rep := accountant.Report{Incarnation: r.Incarnation, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
 	for _, w := range r.Runs {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
@@ -271,9 +271,9 @@
 		if err != nil {
 			return rep, accountant.VMInfo{}, err
 		}
-		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, Outcome: accountant.End(w.How), Checkpoint: w.Checkpoint})
+		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, Outcome: accountant.End(w.Outcome), Checkpoint: w.Checkpoint})
 	}
-	for _, w := range r.Doubts {
+	for _, w := range r.UnconfirmedStarts {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
 			return rep, accountant.VMInfo{}, err
@@ -336,7 +336,7 @@
 		if o.state.VMs[name].Incarnation == "" {
 			continue
 		}
-		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Life: s.vm.Incarnation, EndsStored: s.vm.EndStored, Orders: s.queued}
+		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Incarnation: s.vm.Incarnation, EndsStored: s.vm.EndStored, Orders: s.queued}
 		s.sentEndStored, s.queued = s.vm.EndStored, nil
 		s.post(m)
 	}
@@ -365,7 +365,7 @@
 		}
 		m := s.outbox[0]
 		for _, next := range s.outbox[1:] { // one call for all queued messages
-			if next.Life != m.Life {
+			if next.Incarnation != m.Incarnation {
 				break
 			}
 			m.Orders, m.EndsStored = append(m.Orders, next.Orders...), next.EndsStored
--- a/internal/job/scheduler/session_test.go
+++ b/internal/job/scheduler/session_test.go
@@ -29,7 +29,7 @@
 		orders  int
 	}{{false, 0}, {false, 0}, {true, 1}} {
 		r := messenger.WorkReport{
-			VM: "vm-1", Session: 1, Life: "1", Ready: true, Granted: tt.granted,
+			VM: "vm-1", Session: 1, Incarnation: "1", Ready: true, Granted: tt.granted,
 			Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		}
 		parsed, facts, err := parseReport(r)
@@ -67,7 +67,7 @@
 	report := func(ready bool) int64 {
 		t.Helper()
 		parsed, facts, err := parseReport(messenger.WorkReport{
-			VM: "vm-1", Session: 1, Life: "1", Ready: ready, Granted: true, Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
+			VM: "vm-1", Session: 1, Incarnation: "1", Ready: ready, Granted: true, Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -128,7 +128,7 @@
 			s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }})
 			o := newOwner(s, 1, accountant.New(accountant.Config{Policy: policy}), now)
 			for i, session := range tt.open {
-				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Life: "1", Ready: true, Facts: &messenger.WorkFacts{}}
+				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
 				parsed, facts, err := parseReport(r)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -41,7 +41,7 @@
 	b.o.reconciled = true
 	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, LongRunning: true}}}, time.Time{}, b.now)
 	b.report = messenger.WorkReport{
-		VM: "vm-1", Session: 1, Process: 1, Life: "1", Ready: true, Granted: true,
+		VM: "vm-1", Session: 1, Process: 1, Incarnation: "1", Ready: true, Granted: true,
 		Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		Runs:  []messenger.WorkRun{{Task: stoppedJob + ".0.0.0", Run: 1, Confirmed: true, Progress: 100}},
 	}
--- a/internal/service/agent/jobs.go
+++ b/internal/service/agent/jobs.go
@@ -33,8 +33,8 @@
 	j := &jobs{}
 	j.steerer = steerer.New(steerer.Config{
 		URL: c.ExecutorURL, Zone: c.Zone, Rack: c.Rack, Service: c.Service,
-		Announced: func(a guardian.Announcement) { j.guardian.Announce(a) },
-		Unreadable: func(err error) {
+		OnAnnouncement: func(a guardian.Announcement) { j.guardian.Announce(a) },
+		OnDescribeError: func(err error) {
 			c.Reporter.Report(reporter.AnnouncementMalformed, reporter.Fields{"error": err.Error()})
 		},
 	})
--- a/internal/service/hoster/agent.go
+++ b/internal/service/hoster/agent.go
@@ -41,8 +41,8 @@
 		Cell: cell, Guardian: a.guardian, GetRecord: a.store.Calls().GetRecord, Now: now, Reporter: c.Reporter,
 	})
 	a.announcements = &platform.Announcements{
-		Worker: worker, Announced: a.guardian.Announce,
-		Malformed: func(err error) {
+		Worker: worker, OnAnnouncement: a.guardian.Announce,
+		OnMalformed: func(err error) {
 			c.Reporter.Report(reporter.AnnouncementMalformed, reporter.Fields{"error": err.Error()})
 		},
 	}
--- a/internal/service/hoster/entry.go
+++ b/internal/service/hoster/entry.go
@@ -145,7 +145,7 @@
 func (e *Entry) callerHandler() http.Handler {
 	return &platform.Callers{
 		Receiver: e.receiver, Policy: e.follower.Policy, PolicyAge: e.follower.Age,
-		Refused: func(reason, host, path string) {
+		OnRefused: func(reason, host, path string) {
 			e.config.Reporter.Report(reporter.JobRefused, reporter.Fields{"reason": reason, "host": host, "path": path, "policy": e.follower.Policy().Version})
 		},
 		Observe: func(queue, method string, status int, took time.Duration) {
--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -17,7 +17,7 @@
 	handle(e, steerer.PathStart, true, e.startLocked)
 	handle(e, steerer.PathStop, true, e.stopLocked)
 	handle(e, steerer.PathPace, false, e.paceLocked)
-	e.mux.HandleFunc("POST "+steerer.PathLook, e.pollStatus)
+	e.mux.HandleFunc("POST "+steerer.PathPoll, e.pollStatus)
 	e.mux.HandleFunc("POST /control/faults", func(rw http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if server.ReadJSON(rw, r, &f) {
@@ -41,8 +41,8 @@
 			return
 		}
 		executeLocked := func() (int, any) {
-			if want := r.Header.Get(steerer.HeaderLife); want != "" && want != e.incarnationName() {
-				return refusal(guardian.RefusedLife)
+			if want := r.Header.Get(steerer.HeaderIncarnation); want != "" && want != e.incarnationName() {
+				return refusal(guardian.RefusedIncarnation)
 			}
 			e.advanceLocked()
 			return do(c)
@@ -70,7 +70,7 @@
 
 func (e *Executor) describeVM(rw http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	vm := steerer.VM{Life: e.incarnationName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
+	vm := steerer.VM{Incarnation: e.incarnationName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
 	silent := e.faults.Silent
 	e.mu.Unlock()
 	if silent {
@@ -104,7 +104,7 @@
 	case r != nil && r.number == c.Run:
 		return http.StatusOK, struct{}{}
 	case c.Run <= e.highestEnded[c.Task] || r != nil && c.Run < r.number:
-		return refusal(guardian.RefusedRun)
+		return refusal(guardian.RefusedEndedRun)
 	case e.clockLocked().Milliseconds() > c.LeaseMillis:
 		return refusal(guardian.RefusedLease)
 	case e.faults.Refuse:
@@ -115,7 +115,7 @@
 		return refusal(guardian.RefusedMalformed)
 	}
 	if r != nil {
-		e.recordLocked(Event{Kind: "end", Task: c.Task, Run: r.number, How: string(accountant.EndLost)})
+		e.recordLocked(Event{Kind: "end", Task: c.Task, Run: r.number, Outcome: string(accountant.EndLost)})
 	}
 	r = &run{task: c.Task, number: c.Run, payload: p, pace: 100}
 	if ms, ok := strings.CutPrefix(c.Checkpoint, checkpointPrefix); ok {
@@ -152,7 +152,7 @@
 // pollStatus waits until a run ends or the wait time is over, then lists the running tasks
 // and the ends that were not acknowledged.
 func (e *Executor) pollStatus(rw http.ResponseWriter, r *http.Request) {
-	var c steerer.Look
+	var c steerer.PollRequest
 	if !server.ReadJSON(rw, r, &c) {
 		return
 	}
@@ -172,7 +172,7 @@
 	if c.LeaseMillis > 0 {
 		e.extendLeaseLocked(c.LeaseMillis)
 	}
-	e.acknowledgeLocked(c.Seen)
+	e.acknowledgeLocked(c.EndsSeen)
 	if wait := min(time.Duration(c.WaitMillis)*time.Millisecond, maxPollWait); len(e.ends) == 0 && wait > 0 {
 		changed := e.changed
 		e.mu.Unlock()
@@ -191,13 +191,13 @@
 
 func (e *Executor) acknowledgeLocked(seen int64) {
 	for len(e.ends) > 0 && e.ends[0].Seq <= seen {
-		e.recordLocked(Event{Kind: "acknowledged", Task: e.ends[0].Task, Run: e.ends[0].Run, How: e.ends[0].How})
+		e.recordLocked(Event{Kind: "acknowledged", Task: e.ends[0].Task, Run: e.ends[0].Run, Outcome: e.ends[0].Outcome})
 		e.ends = e.ends[1:]
 	}
 }
 
-func (e *Executor) statusLocked() steerer.Seen {
-	s := steerer.Seen{Life: e.incarnationName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]steerer.End(nil), e.ends...)}
+func (e *Executor) statusLocked() steerer.PollResponse {
+	s := steerer.PollResponse{Incarnation: e.incarnationName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]steerer.End(nil), e.ends...)}
 	for _, key := range e.sortedTasksLocked() {
 		r := e.runs[key]
 		v := steerer.Run{Task: r.task, Run: r.number, Checkpoint: r.checkpoint(), Progress: 100, Measure: r.payload.TailMillis}
--- a/internal/standin/executor/calls_test.go
+++ b/internal/standin/executor/calls_test.go
@@ -39,13 +39,13 @@
 			t.Cleanup(server.Close)
 			calls := steerer.New(steerer.Config{URL: server.URL}).Calls()
 			time.Sleep(2 * time.Millisecond) // so that the clock of the executor is above 0
-			seen, err := calls.Look(t.Context(), guardian.LookCall{LeaseUntil: time.Minute})
+			seen, err := calls.Poll(t.Context(), guardian.PollCall{LeaseUntil: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
-			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Life: tt.incarnation, Until: seen.Clock + tt.valid}
-			if call.Life == "" {
-				call.Life = seen.Life
+			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Incarnation: tt.incarnation, Until: seen.Clock + tt.valid}
+			if call.Incarnation == "" {
+				call.Incarnation = seen.Incarnation
 			}
 			if tt.delayed {
 				e.SetFaults(Faults{LateMillis: delay.Milliseconds()})
@@ -57,7 +57,7 @@
 			if !tt.delayed && (err == nil) != tt.started || !tt.started && !tt.delayed && !errors.As(err, &refused) || tt.delayed && err == nil {
 				t.Errorf("answered %v", err)
 			}
-			e.SetFaults(Faults{RebornNow: tt.restarted})
+			e.SetFaults(Faults{NewIncarnation: tt.restarted})
 			if tt.delayed {
 				time.Sleep(2 * delay)
 			}
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -51,15 +51,15 @@
 // Event is a start or an end of a run, the acknowledgement of an end, or the expiry
 // of the leases.
 type Event struct {
-	At      time.Time `json:"at"`
-	VM      string    `json:"vm"`
-	Life    string    `json:"life"`
-	Kind    string    `json:"kind"` // start, end, acknowledged, or lapse (all leases expired)
-	Task    string    `json:"task"`
-	Run     int64     `json:"run"`
-	How     string    `json:"how,omitempty"`
-	Epoch   int64     `json:"epoch,omitempty"`
-	Payload string    `json:"payload,omitempty"`
+	At          time.Time `json:"at"`
+	VM          string    `json:"vm"`
+	Incarnation string    `json:"life"`
+	Kind        string    `json:"kind"` // start, end, acknowledged, or lapse (all leases expired)
+	Task        string    `json:"task"`
+	Run         int64     `json:"run"`
+	Outcome     string    `json:"how,omitempty"`
+	Epoch       int64     `json:"epoch,omitempty"`
+	Payload     string    `json:"payload,omitempty"`
 }
 
 // payload controls the behaviour of a task.
@@ -81,15 +81,15 @@
 
 // Faults are the faults that the stand-in injects.
 type Faults struct {
-	FailAll      bool  `json:"fail-all"`
-	Refuse       bool  `json:"refuse"`         // refuse all starts; they have no effect
-	Silent       bool  `json:"silent"`         // neither execute nor answer any call
-	LateMillis   int64 `json:"late-ms"`        // do not answer starts and stops, and execute them after this delay
-	Leaving      bool  `json:"leaving"`        // report that the VM is leaving
-	SpeedPercent int64 `json:"speed-percent"`  // of all tasks; 0: 100
-	RebornNow    bool  `json:"reborn-now"`     // drop all state and start a new incarnation, once
-	HoldProgress bool  `json:"stands-still"`   // tasks make no progress
-	ClockSlow    int64 `json:"clock-slow-pct"` // percentage by which the clock runs slow
+	FailAll        bool  `json:"fail-all"`
+	Refuse         bool  `json:"refuse"`         // refuse all starts; they have no effect
+	Silent         bool  `json:"silent"`         // neither execute nor answer any call
+	LateMillis     int64 `json:"late-ms"`        // do not answer starts and stops, and execute them after this delay
+	Leaving        bool  `json:"leaving"`        // report that the VM is leaving
+	SpeedPercent   int64 `json:"speed-percent"`  // of all tasks; 0: 100
+	NewIncarnation bool  `json:"reborn-now"`     // drop all state and start a new incarnation, once
+	HoldProgress   bool  `json:"stands-still"`   // tasks make no progress
+	ClockSlow      int64 `json:"clock-slow-pct"` // percentage by which the clock runs slow
 }
 
 // Executor is the executor of one VM. It is safe for concurrent use.
@@ -132,7 +132,7 @@
 
 func (e *Executor) startIncarnationLocked() {
 	for _, key := range e.sortedTasksLocked() {
-		e.recordLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, How: string(accountant.EndLost)})
+		e.recordLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, Outcome: string(accountant.EndLost)})
 	}
 	e.incarnation++
 	e.startedAt, e.advancedAt = e.config.Now(), e.config.Now()
@@ -244,8 +244,8 @@
 	e.seq++
 	e.highestEnded[r.task] = max(e.highestEnded[r.task], r.number)
 	delete(e.runs, r.task)
-	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, How: string(how), Checkpoint: r.checkpoint()})
-	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, How: string(how)})
+	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, Outcome: string(how), Checkpoint: r.checkpoint()})
+	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, Outcome: string(how)})
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
@@ -258,7 +258,7 @@
 }
 
 func (e *Executor) recordLocked(v Event) {
-	v.At, v.VM, v.Life = e.config.Now(), e.config.VM, e.incarnationName()
+	v.At, v.VM, v.Incarnation = e.config.Now(), e.config.VM, e.incarnationName()
 	e.events = append(e.events, v)
 	if e.config.OnEvent != nil {
 		e.config.OnEvent(v)
@@ -278,9 +278,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advanceLocked()
-	if f.RebornNow {
+	if f.NewIncarnation {
 		e.startIncarnationLocked()
-		f.RebornNow = false
+		f.NewIncarnation = false
 	}
 	e.faults = f
 }
--- a/internal/standin/worker/calls.go
+++ b/internal/standin/worker/calls.go
@@ -155,10 +155,10 @@
 // a longer lease would extend the leases beyond what the caller granted last, so only
 // the call that was issued last is applied.
 func (w *Worker) renew(c driver.LeaseCall) (int, any) {
-	if c.Issued < w.latestIssued {
+	if c.Number < w.latestIssued {
 		return http.StatusOK, driver.LeaseAnswer{Issued: w.latestIssued}
 	}
-	w.latestIssued = c.Issued
+	w.latestIssued = c.Number
 	end := w.leaseEnd(c.Until)
 	for _, t := range w.tasks {
 		t.leaseEnd = end
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -80,7 +80,7 @@
 	}
 	must(b.StartTask(ctx, startOptions(2)))
 	must(b.StartTask(ctx, startOptions(2)))
-	if err := b.StartTask(ctx, startOptions(1)); !driver.IsErrAttemptOver(err) {
+	if err := b.StartTask(ctx, startOptions(1)); !driver.IsErrAttemptEnded(err) {
 		t.Fatal(err)
 	}
 	b.advance(t, 300*time.Millisecond)
@@ -93,11 +93,11 @@
 			t.Fatal(checkpoint)
 		}
 	}
-	if err := b.StartTask(ctx, startOptions(2)); !driver.IsErrAttemptOver(err) {
+	if err := b.StartTask(ctx, startOptions(2)); !driver.IsErrAttemptEnded(err) {
 		t.Fatal(err)
 	}
 	must(b.ForgetTask(ctx, "t", 2))
-	if err := b.StartTask(ctx, startOptions(2)); !driver.IsErrAttemptOver(err) {
+	if err := b.StartTask(ctx, startOptions(2)); !driver.IsErrAttemptEnded(err) {
 		t.Fatal(err)
 	}
 	o := startOptions(3)
@@ -114,7 +114,7 @@
 	}
 	o = startOptions(7)
 	o.TaskID = "never"
-	if err := b.StartTask(ctx, o); !driver.IsErrAttemptOver(err) {
+	if err := b.StartTask(ctx, o); !driver.IsErrAttemptEnded(err) {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff("start checkpointed start completed", b.eventKinds()); diff != "" {
@@ -128,7 +128,7 @@
 	b := newFixture(t)
 	o := startOptions(1)
 	o.StartBy = b.at.Add(-time.Millisecond)
-	if err := b.StartTask(context.Background(), o); !driver.IsErrTooLate(err) {
+	if err := b.StartTask(context.Background(), o); !driver.IsErrStartExpired(err) {
 		t.Fatal(err)
 	}
 	if b.eventKinds() != "" {
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -18,20 +18,20 @@
 
 // WorkReport contains the full state of the runs of an agent's worker.
 type WorkReport struct {
-	VM         string     `json:"vm"`
-	Session    int64      `json:"session"`         // increases with each session of the agent
-	Process    int64      `json:"process"`         // identifies the agent's process; a new process has no record of earlier orders
-	Facts      *WorkFacts `json:"facts,omitempty"` // in the first report of a session
-	Life       string     `json:"life"`            // incarnation of the worker
-	Ready      bool       `json:"ready"`
-	Granted    bool       `json:"granted"` // the agent has a grant; without one it starts nothing
-	OrdersSeen int64      `json:"orders-seen"`
-	AgeMillis  int64      `json:"age-ms"` // of the reported state of the runs
-	Runs       []WorkRun  `json:"runs,omitempty"`
-	Ends       []WorkEnd  `json:"ends,omitempty"`
+	VM          string     `json:"vm"`
+	Session     int64      `json:"session"`         // increases with each session of the agent
+	Process     int64      `json:"process"`         // identifies the agent's process; a new process has no record of earlier orders
+	Facts       *WorkFacts `json:"facts,omitempty"` // in the first report of a session
+	Incarnation string     `json:"life"`            // incarnation of the worker
+	Ready       bool       `json:"ready"`
+	Granted     bool       `json:"granted"` // the agent has a grant; without one it starts nothing
+	OrdersSeen  int64      `json:"orders-seen"`
+	AgeMillis   int64      `json:"age-ms"` // of the reported state of the runs
+	Runs        []WorkRun  `json:"runs,omitempty"`
+	Ends        []WorkEnd  `json:"ends,omitempty"`
 	// Unconfirmed starts: they were not answered and no status poll has shown the run yet.
 	// The worker may still carry them out, even in another incarnation.
-	Doubts []WorkDoubt `json:"doubts,omitempty"`
+	UnconfirmedStarts []WorkUnconfirmedStart `json:"doubts,omitempty"`
 	// An abridged report lists only runs that are new or changed in more than progress and
 	// measure; wire/abridger restores the full report.
 	Abridged bool       `json:"abridged,omitempty"`
@@ -63,8 +63,8 @@
 	Needs      *specifier.Resources `json:"needs,omitempty"`
 }
 
-// WorkDoubt is an unconfirmed start, which may still be carried out.
-type WorkDoubt struct {
+// WorkUnconfirmedStart is an unconfirmed start, which may still be carried out.
+type WorkUnconfirmedStart struct {
 	Task      string `json:"task"`
 	Run       int64  `json:"run"`
 	AgeMillis int64  `json:"age-ms"` // since it was sent
@@ -75,7 +75,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	How        string `json:"how"` // an accountant.End
+	Outcome    string `json:"how"` // an accountant.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
@@ -90,8 +90,8 @@
 	// session: a restarted agent does not have them.
 	Needs []WorkRun `json:"needs,omitempty"`
 	// Unconfirmed starts of earlier processes of the agent, in the same answer.
-	Doubts  []WorkDoubt   `json:"doubts,omitempty"`
-	Entries []PeerAddress `json:"entries,omitempty"` // to query for the owner when this one is lost
+	UnconfirmedStarts []WorkUnconfirmedStart `json:"doubts,omitempty"`
+	Entries           []PeerAddress          `json:"entries,omitempty"` // to query for the owner when this one is lost
 }
 
 // WorkOrderKind is the action of an order.
@@ -106,11 +106,11 @@
 
 // WorkOrders contains orders of one session, sorted by number.
 type WorkOrders struct {
-	Epoch      int64       `json:"epoch"`
-	Session    int64       `json:"session"`
-	EndsStored int64       `json:"ends-stored"`
-	Life       string      `json:"life"` // incarnation of the worker that they are intended for
-	Orders     []WorkOrder `json:"orders,omitempty"`
+	Epoch       int64       `json:"epoch"`
+	Session     int64       `json:"session"`
+	EndsStored  int64       `json:"ends-stored"`
+	Incarnation string      `json:"life"` // incarnation of the worker that they are intended for
+	Orders      []WorkOrder `json:"orders,omitempty"`
 }
 
 // WorkOrder is an order about one run.
@@ -146,9 +146,9 @@
 
 // Outcomes of a WorkStoreRequest.
 const (
-	WorkStored    WorkStoreOutcome = "stored"    // by this request or an earlier one
-	WorkRefused   WorkStoreOutcome = "refused"   // definitely not stored
-	WorkUnsettled WorkStoreOutcome = "unsettled" // outcome unknown
+	WorkStored         WorkStoreOutcome = "stored"    // by this request or an earlier one
+	WorkRefused        WorkStoreOutcome = "refused"   // definitely not stored
+	WorkOutcomeUnknown WorkStoreOutcome = "unsettled" // outcome unknown
 )
 
 // WorkStoreReply answers a WorkStoreRequest.
@@ -181,15 +181,15 @@
 
 // WorkExplainReply contains the owner's full state of a job.
 type WorkExplainReply struct {
-	Known       bool             `json:"known"`
-	Job         string           `json:"job"`
-	Queue       string           `json:"queue"`
-	State       string           `json:"state"`
-	Epoch       int64            `json:"epoch"`               // epoch of the owner
-	Unsettled   bool             `json:"unsettled,omitempty"` // the owner waits for VMs that an earlier owner may have used
-	Occurrences int              `json:"occurrences"`
-	Finished    int              `json:"finished-occurrences"`
-	Steps       []WorkStepStatus `json:"steps,omitempty"` // of the open occurrences
+	Known        bool             `json:"known"`
+	Job          string           `json:"job"`
+	Queue        string           `json:"queue"`
+	State        string           `json:"state"`
+	Epoch        int64            `json:"epoch"`               // epoch of the owner
+	Unreconciled bool             `json:"unsettled,omitempty"` // the owner waits for VMs that an earlier owner may have used
+	Occurrences  int              `json:"occurrences"`
+	Finished     int              `json:"finished-occurrences"`
+	Steps        []WorkStepStatus `json:"steps,omitempty"` // of the open occurrences
 }
 
 // WorkStepStatus is the state of a step of an open occurrence.
--- a/internal/worker/attender/attender.go
+++ b/internal/worker/attender/attender.go
@@ -138,7 +138,7 @@
 	if err := conn.Call(callCtx, messenger.MethodWorkReport, a.abridger.Abridge(rep), &reply); err != nil {
 		return err
 	}
-	if !a.config.Guardian.ApplyReply(sentAt, rep.Life, reply) {
+	if !a.config.Guardian.ApplyReply(sentAt, rep.Incarnation, reply) {
 		return fmt.Errorf("reply from owner %s with outdated epoch %d", conn.Remote(), reply.Epoch)
 	}
 	if len(reply.Entries) > 0 {
--- a/internal/worker/driver/driver.go
+++ b/internal/worker/driver/driver.go
@@ -20,27 +20,29 @@
 // maxErrorBytes limits how much of an error response goes into the message.
 const maxErrorBytes = 512
 
-// ErrTooLate is returned when a start arrived after StartBy: the attempt was not started.
-type ErrTooLate struct{ TaskID string }
+// ErrStartExpired is returned when a start arrived after StartBy: the attempt was not started.
+type ErrStartExpired struct{ TaskID string }
 
-func (e ErrTooLate) Error() string { return fmt.Sprintf("start of task %s arrived too late", e.TaskID) }
+func (e ErrStartExpired) Error() string {
+	return fmt.Sprintf("start of task %s arrived too late", e.TaskID)
+}
 
-// IsErrTooLate reports whether err is, or wraps, an ErrTooLate.
-func IsErrTooLate(err error) bool { return asError[ErrTooLate](err) }
+// IsErrStartExpired reports whether err is, or wraps, an ErrTooLate.
+func IsErrStartExpired(err error) bool { return asError[ErrStartExpired](err) }
 
-// ErrAttemptOver is returned for the start of an attempt that has ended or was superseded by
+// ErrAttemptEnded is returned for the start of an attempt that has ended or was superseded by
 // a higher one: it was not started.
-type ErrAttemptOver struct {
+type ErrAttemptEnded struct {
 	TaskID  string
 	Attempt int64
 }
 
-func (e ErrAttemptOver) Error() string {
+func (e ErrAttemptEnded) Error() string {
 	return fmt.Sprintf("attempt %d of task %s has ended or was superseded", e.Attempt, e.TaskID)
 }
 
-// IsErrAttemptOver reports whether err is, or wraps, an ErrAttemptOver.
-func IsErrAttemptOver(err error) bool { return asError[ErrAttemptOver](err) }
+// IsErrAttemptEnded reports whether err is, or wraps, an ErrAttemptOver.
+func IsErrAttemptEnded(err error) bool { return asError[ErrAttemptEnded](err) }
 
 // ErrTaskNotExist is returned for an attempt that does not run on this VM.
 type ErrTaskNotExist struct{ TaskID string }
@@ -184,12 +186,12 @@
 // RenewLeasesUntil sets the leases of all running tasks to end at a time on the VM's clock,
 // so that a caller paused before the call does not extend them.
 func (d *Driver) RenewLeasesUntil(ctx context.Context, until time.Time) error {
-	c := LeaseCall{Issued: d.nextIssued(d.config.Now().UnixNano()), Until: until.UnixNano()}
+	c := LeaseCall{Number: d.nextIssued(d.config.Now().UnixNano()), Until: until.UnixNano()}
 	var a LeaseAnswer
 	if err := d.post(ctx, PathLeases, TaskCall{}, c, &a); err != nil {
 		return err
 	}
-	if a.Issued > c.Issued {
+	if a.Issued > c.Number {
 		// An earlier process numbered its renewals by a clock that has jumped back since.
 		// This call had no effect; the next ones will.
 		d.nextIssued(a.Issued)
@@ -248,9 +250,9 @@
 	}
 	switch status.code {
 	case http.StatusPreconditionFailed:
-		return ErrTooLate{TaskID: task.TaskID}
+		return ErrStartExpired{TaskID: task.TaskID}
 	case http.StatusConflict:
-		return ErrAttemptOver{TaskID: task.TaskID, Attempt: task.Attempt}
+		return ErrAttemptEnded{TaskID: task.TaskID, Attempt: task.Attempt}
 	case http.StatusNotFound:
 		return ErrTaskNotExist{TaskID: task.TaskID}
 	}
--- a/internal/worker/driver/protocol.go
+++ b/internal/worker/driver/protocol.go
@@ -44,7 +44,7 @@
 // LeaseCall renews the leases of all running tasks. The worker ignores a call issued before
 // the latest one it has seen.
 type LeaseCall struct {
-	Issued int64 `json:"issued-ns"`
+	Number int64 `json:"issued-ns"`
 	Until  int64 `json:"until-ns"`
 }
 
--- a/internal/worker/guardian/env_test.go
+++ b/internal/worker/guardian/env_test.go
@@ -28,7 +28,7 @@
 	incarnation       string
 	epoch             int64
 	runs              map[accountant.RunKey]bool
-	ends              []SeenEnd
+	ends              []ListedEnd
 	starts            []StartCall
 	stops             []StopCall
 	leases            []time.Duration
@@ -52,7 +52,7 @@
 var errNoAnswer = errors.New("no answer")
 
 func (f *fakeWorker) calls() Worker {
-	return Worker{Start: f.start, Stop: f.stop, Pace: f.pace, Look: f.poll}
+	return Worker{Start: f.start, Stop: f.stop, Pace: f.pace, Poll: f.poll}
 }
 
 func (f *fakeWorker) start(_ context.Context, c StartCall) error {
@@ -101,44 +101,44 @@
 	return nil
 }
 
-func (f *fakeWorker) poll(ctx context.Context, c LookCall) (Look, error) {
+func (f *fakeWorker) poll(ctx context.Context, c PollCall) (Status, error) {
 	select {
 	case <-ctx.Done():
-		return Look{}, ctx.Err()
+		return Status{}, ctx.Err()
 	case <-time.After(f.waitFor(c)):
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.notRunning {
-		return Look{}, ErrWorkerNotExist{errNoAnswer}
+		return Status{}, ErrWorkerNotExist{errNoAnswer}
 	}
 	if f.unresponsive {
-		return Look{}, errNoAnswer
+		return Status{}, errNoAnswer
 	}
 	if c.Epoch < f.epoch {
-		return Look{}, ErrRefused{RefusedEpoch}
+		return Status{}, ErrRefused{RefusedEpoch}
 	}
 	f.epoch = c.Epoch
 	f.leases = append(f.leases, c.LeaseUntil)
-	l := Look{Life: f.incarnation, Clock: time.Since(f.startedAt)}
+	l := Status{Incarnation: f.incarnation, Clock: time.Since(f.startedAt)}
 	for key := range f.runs {
-		l.Runs = append(l.Runs, SeenRun{Task: key.Task, Run: key.Number})
+		l.Runs = append(l.Runs, ListedRun{Task: key.Task, Run: key.Number})
 	}
 	for _, e := range f.ends {
-		if e.Seq > c.Seen {
+		if e.Seq > c.EndsSeen {
 			l.Ends = append(l.Ends, e)
 		}
 	}
 	return l, nil
 }
 
-func (f *fakeWorker) waitFor(c LookCall) time.Duration {
+func (f *fakeWorker) waitFor(c PollCall) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.waitsFully {
 		return c.Wait
 	}
-	if f.reportsEndsAtOnce && len(f.ends) > 0 && f.ends[len(f.ends)-1].Seq > c.Seen {
+	if f.reportsEndsAtOnce && len(f.ends) > 0 && f.ends[len(f.ends)-1].Seq > c.EndsSeen {
 		return 0
 	}
 	return min(c.Wait, 20*time.Millisecond)
@@ -182,7 +182,7 @@
 }
 
 func (e *testEnv) announce(leaving bool) {
-	e.g.Announce(Announcement{Life: e.worker.incarnation, Zone: "z", Capacity: specifier.Resources{CPUMillis: 2000, MemoryMB: 1000}, Leaving: leaving})
+	e.g.Announce(Announcement{Incarnation: e.worker.incarnation, Zone: "z", Capacity: specifier.Resources{CPUMillis: 2000, MemoryMB: 1000}, Leaving: leaving})
 }
 
 // report waits until the guardian can report and returns the report.
@@ -208,14 +208,14 @@
 func (e *testEnv) grant(epoch int64, d time.Duration) {
 	e.t.Helper()
 	rep := e.report()
-	if !e.g.ApplyReply(time.Now(), rep.Life, messenger.WorkReply{Epoch: epoch, GrantMillis: d.Milliseconds()}) {
+	if !e.g.ApplyReply(time.Now(), rep.Incarnation, messenger.WorkReply{Epoch: epoch, GrantMillis: d.Milliseconds()}) {
 		e.t.Fatal("the grant was refused")
 	}
 }
 
 func (e *testEnv) order(epoch int64, kind messenger.WorkOrderKind, index int, run int64) {
 	e.seq++
-	_ = e.g.Execute(messenger.WorkOrders{Epoch: epoch, Session: e.session, Life: e.worker.incarnation, Orders: []messenger.WorkOrder{{
+	_ = e.g.Execute(messenger.WorkOrders{Epoch: epoch, Session: e.session, Incarnation: e.worker.incarnation, Orders: []messenger.WorkOrder{{
 		Seq: e.seq, Kind: kind, Task: taskID(index).String(), Run: run, Needs: oneCore,
 	}}})
 }
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -66,7 +66,7 @@
 	leaving           bool
 	runs              map[accountant.RunKey]*run
 	unconfirmedStarts map[accountant.RunKey]unconfirmedStart // starts without an answer
-	ends              []SeenEnd
+	ends              []ListedEnd
 	endsStored        int64
 	epoch             int64
 	session           int64
@@ -117,9 +117,9 @@
 func (g *Guardian) Announce(a Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	changed := g.incarnation != a.Life || g.leaving != a.Leaving || g.facts == nil
-	if g.incarnation != a.Life {
-		g.beginIncarnationLocked(a.Life)
+	changed := g.incarnation != a.Incarnation || g.leaving != a.Leaving || g.facts == nil
+	if g.incarnation != a.Incarnation {
+		g.beginIncarnationLocked(a.Incarnation)
 	}
 	g.leaving = a.Leaving
 	facts := &messenger.WorkFacts{WorkerID: a.ID, Zone: a.Zone, Rack: a.Rack, Service: a.Service, Labels: a.Labels, Capacity: a.Capacity}
@@ -127,7 +127,7 @@
 		g.facts, changed = facts, true // reported again
 	}
 	if changed {
-		g.config.Reporter.Report(reporter.WorkerAnnounced, reporter.Fields{"life": a.Life, "leaving": a.Leaving, "cpu": a.Capacity.CPUMillis, "memory-mb": a.Capacity.MemoryMB})
+		g.config.Reporter.Report(reporter.WorkerAnnounced, reporter.Fields{"life": a.Incarnation, "leaving": a.Leaving, "cpu": a.Capacity.CPUMillis, "memory-mb": a.Capacity.MemoryMB})
 		g.signal()
 	}
 }
@@ -191,7 +191,7 @@
 	}
 	g.reportedAt = g.config.Now()
 	rep := messenger.WorkReport{
-		VM: g.config.VM, Session: session, Process: g.process, Life: g.incarnation, OrdersSeen: g.ordersSeen,
+		VM: g.config.VM, Session: session, Process: g.process, Incarnation: g.incarnation, OrdersSeen: g.ordersSeen,
 		AgeMillis: g.config.Now().Sub(g.clockAt).Milliseconds(),
 		Ready:     !g.leaving && g.unresponsiveSince.IsZero(), Granted: g.grantUntil.After(g.config.Now()),
 	}
@@ -209,10 +209,10 @@
 	}
 	for _, e := range g.ends {
 		if e.Seq > g.endsStored {
-			rep.Ends = append(rep.Ends, messenger.WorkEnd{Seq: e.Seq, Task: e.Task.String(), Run: e.Run, How: e.How, Checkpoint: e.Checkpoint})
+			rep.Ends = append(rep.Ends, messenger.WorkEnd{Seq: e.Seq, Task: e.Task.String(), Run: e.Run, Outcome: e.Outcome, Checkpoint: e.Checkpoint})
 		}
 	}
-	rep.Doubts = g.unconfirmedStartsLocked()
+	rep.UnconfirmedStarts = g.unconfirmedStartsLocked()
 	return rep, true
 }
 
@@ -269,7 +269,7 @@
 	for _, n := range reply.Needs {
 		g.setNeedsLocked(n)
 	}
-	for _, d := range reply.Doubts {
+	for _, d := range reply.UnconfirmedStarts {
 		g.adoptUnconfirmedStartLocked(d)
 	}
 	g.fenceUnconfirmedStartsLocked()
--- a/internal/worker/guardian/guardian_test.go
+++ b/internal/worker/guardian/guardian_test.go
@@ -96,7 +96,7 @@
 		{"worker is leaving", func(e *testEnv) { e.own(1); e.announce(true); e.order(1, messenger.WorkStart, 0, 1) }},
 		{"other incarnation", func(e *testEnv) {
 			e.own(1)
-			e.g.Execute(messenger.WorkOrders{Epoch: 1, Session: e.session, Life: "other", Orders: []messenger.WorkOrder{{Seq: 1, Kind: messenger.WorkStart, Task: taskID(0).String(), Run: 1, Needs: oneCore}}})
+			e.g.Execute(messenger.WorkOrders{Epoch: 1, Session: e.session, Incarnation: "other", Orders: []messenger.WorkOrder{{Seq: 1, Kind: messenger.WorkStart, Task: taskID(0).String(), Run: 1, Needs: oneCore}}})
 		}},
 		{"last reply of the owner too old", func(e *testEnv) {
 			e.own(1)
@@ -130,7 +130,7 @@
 	e.until("a run", func() bool { return e.confirmed() == 1 })
 	worker.withLock(func() {
 		worker.runs = make(map[accountant.RunKey]bool)
-		worker.ends = []SeenEnd{{Seq: 1, Task: taskID(0), Run: 1, How: "done"}}
+		worker.ends = []ListedEnd{{Seq: 1, Task: taskID(0), Run: 1, Outcome: "done"}}
 	})
 	e.until("an end", func() bool { return len(e.report().Ends) == 1 })
 	e.grant(1, time.Minute) // a reply that acknowledges no end
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -60,14 +60,14 @@
 func (g *Guardian) Execute(o messenger.WorkOrders) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if o.Session == g.session && o.Life == g.incarnation {
+	if o.Session == g.session && o.Incarnation == g.incarnation {
 		g.followLocked(o.Epoch)
 	}
-	if o.Session != g.session || o.Epoch != g.epoch || o.Life != g.incarnation {
+	if o.Session != g.session || o.Epoch != g.epoch || o.Incarnation != g.incarnation {
 		g.config.Reporter.Report(reporter.OrdersVoid, reporter.Fields{
-			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Life, "life-here": g.incarnation, "orders": len(o.Orders),
+			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Incarnation, "life-here": g.incarnation, "orders": len(o.Orders),
 		})
-		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Life}
+		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Incarnation}
 	}
 	g.dropStoredEndsLocked(o.EndsStored)
 	for _, order := range o.Orders {
@@ -167,7 +167,7 @@
 // worker's address, as nothing has been sent then.
 func (g *Guardian) sendStart(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) (call StartCall, err error) {
 	for range startAttempts {
-		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Life: incarnation}
+		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Incarnation: incarnation}
 		g.mu.Lock()
 		call.Epoch, call.Until = g.epoch, g.startUntilLocked(g.config.Now())
 		if r := g.runs[key]; r != nil && r.state == starting {
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -51,7 +51,7 @@
 	g.mu.Lock()
 	g.cancelPoll = cancelPoll
 	g.mu.Unlock()
-	seen, err := g.config.Worker.Look(pollCtx, call)
+	seen, err := g.config.Worker.Poll(pollCtx, call)
 	if err != nil {
 		if pollCtx.Err() != nil && timeoutCtx.Err() == nil {
 			return // cancelled because of a new epoch or grant
@@ -67,7 +67,7 @@
 
 // applyPoll applies the answer to a poll and reports whether it has news other than
 // measurements.
-func (g *Guardian) applyPoll(seen Look, call LookCall, from pollStart) bool {
+func (g *Guardian) applyPoll(seen Status, call PollCall, from pollStart) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failedPolls, g.absentPolls = 0, 0
@@ -76,8 +76,8 @@
 		g.unresponsiveSince = time.Time{}
 		g.signal()
 	}
-	if g.incarnation != seen.Life {
-		g.beginIncarnationLocked(seen.Life)
+	if g.incarnation != seen.Incarnation {
+		g.beginIncarnationLocked(seen.Incarnation)
 	}
 	if g.clockAt.IsZero() {
 		g.signal()
@@ -87,7 +87,7 @@
 		g.signal()
 	}
 	g.clock, g.clockAt, g.lastPollSentAt = seen.Clock, g.config.Now(), from.sentAt
-	if from.incarnation != seen.Life {
+	if from.incarnation != seen.Incarnation {
 		from.clock = 0
 	}
 	return g.applyRunsAndEndsLocked(seen, from)
@@ -100,11 +100,11 @@
 	clock       time.Duration // lower bound of the worker's clock; 0: not known
 }
 
-func (g *Guardian) nextPoll() (LookCall, pollStart) {
+func (g *Guardian) nextPoll() (PollCall, pollStart) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	call := LookCall{Epoch: g.epoch, Seen: g.endsStored, Wait: pollWait, LeaseUntil: g.leaseLocked(now)}
+	call := PollCall{Epoch: g.epoch, EndsSeen: g.endsStored, Wait: pollWait, LeaseUntil: g.leaseLocked(now)}
 	if len(g.runs) == 0 {
 		call.Wait = pollWaitIdle
 	}
@@ -196,7 +196,7 @@
 
 // applyRunsAndEndsLocked applies the runs and ends of a poll and reports whether they contain
 // news other than measurements.
-func (g *Guardian) applyRunsAndEndsLocked(seen Look, from pollStart) (news bool) {
+func (g *Guardian) applyRunsAndEndsLocked(seen Status, from pollStart) (news bool) {
 	listed := make(map[accountant.RunKey]bool, len(seen.Runs))
 	for _, s := range seen.Runs {
 		key := accountant.RunKey{Task: s.Task, Number: s.Run}
@@ -278,7 +278,7 @@
 	}
 }
 
-func (g *Guardian) addEndsLocked(ends []SeenEnd) (news bool) {
+func (g *Guardian) addEndsLocked(ends []ListedEnd) (news bool) {
 	last := g.endsStored
 	if n := len(g.ends); n > 0 {
 		last = g.ends[n-1].Seq
@@ -296,7 +296,7 @@
 			}
 			delete(g.runs, key)
 		}
-		g.config.Reporter.Report(reporter.RunEnded, reporter.Fields{"task": e.Task.String(), "run": e.Run, "how": e.How})
+		g.config.Reporter.Report(reporter.RunEnded, reporter.Fields{"task": e.Task.String(), "run": e.Run, "how": e.Outcome})
 		news = true
 	}
 	return news
--- a/internal/worker/guardian/poll_rate_test.go
+++ b/internal/worker/guardian/poll_rate_test.go
@@ -23,7 +23,7 @@
 	end := func(seq int64, index int) {
 		worker.withLock(func() {
 			delete(worker.runs, accountant.RunKey{Task: taskID(index), Number: 1})
-			worker.ends = append(worker.ends, SeenEnd{Seq: seq, Task: taskID(index), Run: 1, How: "done"})
+			worker.ends = append(worker.ends, ListedEnd{Seq: seq, Task: taskID(index), Run: 1, Outcome: "done"})
 		})
 	}
 	end(1, 0)
--- a/internal/worker/guardian/stale_state_test.go
+++ b/internal/worker/guardian/stale_state_test.go
@@ -54,7 +54,7 @@
 	<-asked
 	worker.withLock(func() { worker.incarnation = "incarnation-2" })
 	e.announce(false)
-	e.until("report of the new incarnation", func() bool { return e.report().Life == "incarnation-2" })
+	e.until("report of the new incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
 	close(answer)
 	select {
 	case <-asked:
@@ -70,8 +70,8 @@
 	e := newTestEnv(t, worker)
 	e.own(1)
 	worker.withLock(func() { worker.incarnation = "incarnation-2" })
-	e.g.Announce(Announcement{ID: "id-2", Life: "incarnation-2", Zone: "z", Capacity: specifier.Resources{CPUMillis: 4000, MemoryMB: 1000}})
-	e.until("report of the new incarnation", func() bool { return e.report().Life == "incarnation-2" })
+	e.g.Announce(Announcement{ID: "id-2", Incarnation: "incarnation-2", Zone: "z", Capacity: specifier.Resources{CPUMillis: 4000, MemoryMB: 1000}})
+	e.until("report of the new incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
 	if f := e.report().Facts; f == nil || f.WorkerID != "id-2" || f.Capacity.CPUMillis != 4000 {
 		t.Errorf("reported %+v", f)
 	}
--- a/internal/worker/guardian/start_expiry_test.go
+++ b/internal/worker/guardian/start_expiry_test.go
@@ -32,7 +32,7 @@
 			e := newTestEnvWith(t, worker, func(w *Worker) {
 				w.Start = func(ctx context.Context, _ StartCall) error { return noAnswer(ctx) }
 				w.Stop = func(ctx context.Context, _ StopCall) error { return noAnswer(ctx) }
-				w.Look = func(ctx context.Context, c LookCall) (Look, error) {
+				w.Poll = func(ctx context.Context, c PollCall) (Status, error) {
 					l, err := worker.poll(ctx, c)
 					l.Clock = tt.clock(time.Since(begin))
 					return l, err
@@ -64,8 +64,8 @@
 	e.until("a run", func() bool { return e.confirmed() == 1 })
 	worker.withLock(func() {
 		c := worker.starts[0]
-		if bound := time.Since(worker.startedAt) + startValidity; c.Life != "incarnation-1" || c.Until <= 0 || c.Until > bound {
-			t.Errorf("start for incarnation %q until %s, want incarnation-1 and %s at most", c.Life, c.Until, bound)
+		if bound := time.Since(worker.startedAt) + startValidity; c.Incarnation != "incarnation-1" || c.Until <= 0 || c.Until > bound {
+			t.Errorf("start for incarnation %q until %s, want incarnation-1 and %s at most", c.Incarnation, c.Until, bound)
 		}
 	})
 }
@@ -93,9 +93,9 @@
 					return noAnswer(ctx)
 				}
 				w.Stop = func(ctx context.Context, _ StopCall) error { return noAnswer(ctx) }
-				w.Look = func(ctx context.Context, c LookCall) (Look, error) {
+				w.Poll = func(ctx context.Context, c PollCall) (Status, error) {
 					l, err := worker.poll(ctx, c)
-					if l.Life == "incarnation-2" {
+					if l.Incarnation == "incarnation-2" {
 						l.Clock += time.Hour // unrelated to an expiry on the clock of incarnation-1
 					}
 					return l, err
@@ -106,7 +106,7 @@
 			e.until("the start", func() bool { return len(e.report().Runs) == 1 })
 			time.Sleep(2 * pollRetryPause) // a poll is answered in this time
 			worker.withLock(func() { worker.incarnation, worker.epoch = "incarnation-2", 0 })
-			e.until("report of the next incarnation", func() bool { return e.report().Life == "incarnation-2" })
+			e.until("report of the next incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
 			time.Sleep(4 * pollRetryPause) // polls are answered in this time
 			if got := len(e.report().Runs); got != tt.listed {
 				t.Errorf("%d runs are listed, want %d", got, tt.listed)
@@ -129,14 +129,14 @@
 	e.g.Follow(1)
 	e.session = e.g.BeginSession()
 	rep := e.report()
-	e.g.ApplyReply(time.Now(), rep.Life, messenger.WorkReply{Epoch: 1, GrantMillis: time.Minute.Milliseconds(), Doubts: []messenger.WorkDoubt{
+	e.g.ApplyReply(time.Now(), rep.Incarnation, messenger.WorkReply{Epoch: 1, GrantMillis: time.Minute.Milliseconds(), UnconfirmedStarts: []messenger.WorkUnconfirmedStart{
 		{Task: taskID(0).String(), Run: 7, AgeMillis: 1000},
 	}})
 	if c := <-stops; c.Run != 7 {
 		t.Errorf("stopped %+v", c)
 	}
-	if rep := e.report(); len(rep.Runs) != 0 || len(rep.Doubts) != 1 {
-		t.Errorf("reported runs %+v and unconfirmed starts %+v", rep.Runs, rep.Doubts)
+	if rep := e.report(); len(rep.Runs) != 0 || len(rep.UnconfirmedStarts) != 1 {
+		t.Errorf("reported runs %+v and unconfirmed starts %+v", rep.Runs, rep.UnconfirmedStarts)
 	}
 }
 
@@ -146,9 +146,9 @@
 func TestLeaseIsRequestedOnceGranted(t *testing.T) {
 	worker := newFakeWorker()
 	worker.waitsFully = true
-	asked := make(chan LookCall, 100)
+	asked := make(chan PollCall, 100)
 	e := newTestEnvWith(t, worker, func(w *Worker) {
-		w.Look = func(ctx context.Context, c LookCall) (Look, error) {
+		w.Poll = func(ctx context.Context, c PollCall) (Status, error) {
 			asked <- c
 			return worker.poll(ctx, c)
 		}
--- a/internal/worker/guardian/takeover_test.go
+++ b/internal/worker/guardian/takeover_test.go
@@ -30,7 +30,7 @@
 // that it assumes to be given.
 func TestOutdatedOrdersAreRejected(t *testing.T) {
 	orders := func(e *testEnv) messenger.WorkOrders {
-		return messenger.WorkOrders{Epoch: 2, Session: e.session, Life: e.worker.incarnation}
+		return messenger.WorkOrders{Epoch: 2, Session: e.session, Incarnation: e.worker.incarnation}
 	}
 	tests := []struct {
 		name     string
@@ -40,7 +40,7 @@
 		{"current", func(*messenger.WorkOrders) {}, false},
 		{"earlier owner", func(o *messenger.WorkOrders) { o.Epoch = 1 }, true},
 		{"earlier session", func(o *messenger.WorkOrders) { o.Session-- }, true},
-		{"other incarnation of the worker", func(o *messenger.WorkOrders) { o.Life = "incarnation-0" }, true},
+		{"other incarnation of the worker", func(o *messenger.WorkOrders) { o.Incarnation = "incarnation-0" }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 
 func (e *testEnv) pace(percent int) {
 	e.seq++
-	_ = e.g.Execute(messenger.WorkOrders{Epoch: 1, Session: e.session, Life: e.worker.incarnation, Orders: []messenger.WorkOrder{{
+	_ = e.g.Execute(messenger.WorkOrders{Epoch: 1, Session: e.session, Incarnation: e.worker.incarnation, Orders: []messenger.WorkOrder{{
 		Seq: e.seq, Kind: messenger.WorkPace, Task: taskID(0).String(), Run: 1, Percent: percent,
 	}}})
 }
@@ -91,8 +91,8 @@
 	}{
 		{RefusedUnhealthy, true},
 		{RefusedEpoch, true},
-		{RefusedRun, false},
-		{RefusedLife, false},
+		{RefusedEndedRun, false},
+		{RefusedIncarnation, false},
 		{RefusedMalformed, false},
 	}
 	for _, tt := range tests {
--- a/internal/worker/guardian/unanswered_start_test.go
+++ b/internal/worker/guardian/unanswered_start_test.go
@@ -53,7 +53,7 @@
 	})
 	e.until("report of the new incarnation without runs", func() bool {
 		rep := e.report()
-		return rep.Life == "incarnation-2" && len(rep.Runs) == 0
+		return rep.Incarnation == "incarnation-2" && len(rep.Runs) == 0
 	})
 	worker.withLock(func() {
 		if len(worker.stops) != 1 || worker.stops[0].Task != taskID(1) {
--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -46,18 +46,18 @@
 }
 
 // unconfirmedStartsLocked lists the unconfirmed starts.
-func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkDoubt {
+func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkUnconfirmedStart {
 	g.dropExpiredStartsLocked()
-	var all []messenger.WorkDoubt
+	var all []messenger.WorkUnconfirmedStart
 	for key, d := range g.unconfirmedStarts {
-		all = append(all, messenger.WorkDoubt{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
+		all = append(all, messenger.WorkUnconfirmedStart{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
 	}
 	return all
 }
 
 // adoptUnconfirmedStartLocked adopts a start sent by an earlier process of this agent, unless
 // the worker is known to have the run.
-func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkDoubt) {
+func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkUnconfirmedStart) {
 	id, err := specifier.ParseTaskID(d.Task)
 	if err != nil {
 		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": d.Task, "error": err.Error()})
--- a/internal/worker/guardian/unconfirmed_starts_test.go
+++ b/internal/worker/guardian/unconfirmed_starts_test.go
@@ -33,14 +33,14 @@
 			e.g.Follow(1)
 			e.session = e.g.BeginSession()
 			rep := e.report()
-			e.g.ApplyReply(time.Now(), rep.Life, messenger.WorkReply{Epoch: 1, GrantMillis: time.Minute.Milliseconds(), Doubts: []messenger.WorkDoubt{
+			e.g.ApplyReply(time.Now(), rep.Incarnation, messenger.WorkReply{Epoch: 1, GrantMillis: time.Minute.Milliseconds(), UnconfirmedStarts: []messenger.WorkUnconfirmedStart{
 				{Task: taskID(0).String(), Run: 7, AgeMillis: tt.age.Milliseconds()},
 			}})
 			e.expectStops(tt.stops)
 			worker.withLock(func() {
 				worker.incarnation, worker.epoch, worker.stops, worker.runs = "incarnation-2", 0, nil, make(map[accountant.RunKey]bool)
 			})
-			e.until("report of the next incarnation", func() bool { return e.report().Life == "incarnation-2" })
+			e.until("report of the next incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
 			e.expectStops(tt.next)
 		})
 	}
@@ -77,9 +77,9 @@
 	e.own(1)
 	e.order(1, messenger.WorkStart, 0, 1)
 	e.until("an end of the run", func() bool { return len(e.report().Runs) == 0 })
-	if got := e.report().Doubts; len(got) != 1 || got[0].Task != taskID(0).String() || got[0].Run != 1 {
+	if got := e.report().UnconfirmedStarts; len(got) != 1 || got[0].Task != taskID(0).String() || got[0].Run != 1 {
 		t.Fatalf("reported unconfirmed starts %+v", got)
 	}
 	worker.withLock(func() { worker.runs[accountant.RunKey{Task: taskID(0), Number: 1}] = true })
-	e.until("end of the unconfirmed start", func() bool { return len(e.report().Doubts) == 0 })
+	e.until("end of the unconfirmed start", func() bool { return len(e.report().UnconfirmedStarts) == 0 })
 }
--- a/internal/worker/guardian/worker.go
+++ b/internal/worker/guardian/worker.go
@@ -16,20 +16,20 @@
 	Start func(ctx context.Context, c StartCall) error
 	Stop  func(ctx context.Context, c StopCall) error
 	Pace  func(ctx context.Context, c PaceCall) error
-	Look  func(ctx context.Context, c LookCall) (Look, error)
+	Poll  func(ctx context.Context, c PollCall) (Status, error)
 }
 
 // StartCall requests a run. A run that the worker already has is confirmed. A call that is
 // carried out late starts nothing after its expiry or in another incarnation of the worker.
 type StartCall struct {
-	Task       specifier.TaskID
-	Run        int64
-	Payload    string
-	Checkpoint string
-	Ticket     string
-	Epoch      int64         // the worker refuses an epoch below the highest it has seen
-	Life       string        // of the worker; any other incarnation refuses the call
-	Until      time.Duration // on the worker's clock, which refuses the call afterwards; all runs of the worker have a lease until then
+	Task        specifier.TaskID
+	Run         int64
+	Payload     string
+	Checkpoint  string
+	Ticket      string
+	Epoch       int64         // the worker refuses an epoch below the highest it has seen
+	Incarnation string        // of the worker; any other incarnation refuses the call
+	Until       time.Duration // on the worker's clock, which refuses the call afterwards; all runs of the worker have a lease until then
 }
 
 // StopCall requests the end of a run. Once it is answered, the worker refuses the run
@@ -48,24 +48,24 @@
 	Epoch   int64
 }
 
-// LookCall polls the status of the worker: it renews the leases and lists what runs.
-type LookCall struct {
+// PollCall polls the status of the worker: it renews the leases and lists what runs.
+type PollCall struct {
 	Epoch      int64
-	Seen       int64         // the worker may drop ends up to this number
+	EndsSeen   int64         // the worker may drop ends up to this number
 	LeaseUntil time.Duration // on the worker's clock; 0: no renewal
 	Wait       time.Duration // how long the answer may wait for a run to end
 }
 
-// Look is the status that a worker returns.
-type Look struct {
-	Life  string        // incarnation of the worker; changes whenever the worker has lost its state
-	Clock time.Duration // of the worker, when it answered
-	Runs  []SeenRun
-	Ends  []SeenEnd
+// Status is the status that a worker returns.
+type Status struct {
+	Incarnation string        // incarnation of the worker; changes whenever the worker has lost its state
+	Clock       time.Duration // of the worker, when it answered
+	Runs        []ListedRun
+	Ends        []ListedEnd
 }
 
-// SeenRun is a run on the worker.
-type SeenRun struct {
+// ListedRun is a run on the worker.
+type ListedRun struct {
 	Task       specifier.TaskID
 	Run        int64
 	Checkpoint string
@@ -73,25 +73,25 @@
 	Measure    int64 // tail latency in ms for a long-running task with a target, else CPU use in thousandths of a core
 }
 
-// SeenEnd is an ended run that the worker has not been allowed to drop yet.
-type SeenEnd struct {
+// ListedEnd is an ended run that the worker has not been allowed to drop yet.
+type ListedEnd struct {
 	Seq        int64
 	Task       specifier.TaskID
 	Run        int64
-	How        string // accountant.End
+	Outcome    string // accountant.End
 	Checkpoint string
 }
 
 // Announcement is what a worker announces about itself.
 type Announcement struct {
-	ID       string // identifies the worker to the advising service; empty without one
-	Life     string
-	Zone     string
-	Rack     string
-	Service  string
-	Labels   []string
-	Capacity specifier.Resources
-	Leaving  bool
+	ID          string // identifies the worker to the advising service; empty without one
+	Incarnation string
+	Zone        string
+	Rack        string
+	Service     string
+	Labels      []string
+	Capacity    specifier.Resources
+	Leaving     bool
 }
 
 // RefusalReason is the reason why a worker refused a call.
@@ -99,14 +99,14 @@
 
 // Reasons of refusals.
 const (
-	RefusedEpoch     RefusalReason = "epoch"     // the worker has seen a higher epoch
-	RefusedRun       RefusalReason = "run"       // this run, or a later one of the task, was stopped or ended there
-	RefusedLease     RefusalReason = "lease"     // the lease had expired when the call arrived
-	RefusedRoom      RefusalReason = "room"      // not enough free capacity
-	RefusedTicket    RefusalReason = "ticket"    // another ticket is required
-	RefusedUnhealthy RefusalReason = "unhealthy" // the worker accepts no calls at present
-	RefusedLife      RefusalReason = "life"      // the call was meant for another incarnation of the worker
-	RefusedMalformed RefusalReason = "malformed" // the worker cannot parse the call
+	RefusedEpoch       RefusalReason = "epoch"     // the worker has seen a higher epoch
+	RefusedEndedRun    RefusalReason = "run"       // this run, or a later one of the task, was stopped or ended there
+	RefusedLease       RefusalReason = "lease"     // the lease had expired when the call arrived
+	RefusedCapacity    RefusalReason = "room"      // not enough free capacity
+	RefusedTicket      RefusalReason = "ticket"    // another ticket is required
+	RefusedUnhealthy   RefusalReason = "unhealthy" // the worker accepts no calls at present
+	RefusedIncarnation RefusalReason = "life"      // the call was meant for another incarnation of the worker
+	RefusedMalformed   RefusalReason = "malformed" // the worker cannot parse the call
 )
 
 // retryable reports whether the same call may be accepted a moment later.
--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/steerer/protocol.go
@@ -14,19 +14,19 @@
 	PathStart = "/v1/start" // Start
 	PathStop  = "/v1/stop"  // Stop
 	PathPace  = "/v1/pace"  // Pace
-	PathLook  = "/v1/look"  // Look, Seen
+	PathPoll  = "/v1/look"  // Look, Seen
 )
 
-// HeaderLife carries the incarnation of the executor that a call is meant for. Any other
+// HeaderIncarnation carries the incarnation of the executor that a call is meant for. Any other
 // incarnation refuses the call, whenever it arrives.
-const HeaderLife = "Bamboospread-Executor-Life"
+const HeaderIncarnation = "Bamboospread-Executor-Life"
 
 // VM is an executor's description of itself.
 type VM struct {
-	Life     string              `json:"life"`
-	Capacity specifier.Resources `json:"capacity"`
-	Labels   []string            `json:"labels,omitempty"`
-	Leaving  bool                `json:"leaving,omitempty"`
+	Incarnation string              `json:"life"`
+	Capacity    specifier.Resources `json:"capacity"`
+	Labels      []string            `json:"labels,omitempty"`
+	Leaving     bool                `json:"leaving,omitempty"`
 }
 
 // Start requests a run. Times are ms on the executor's clock.
@@ -56,17 +56,17 @@
 	Epoch   int64  `json:"epoch"`
 }
 
-// Look renews the leases, allows ends to be dropped and polls what runs.
-type Look struct {
+// PollRequest renews the leases, allows ends to be dropped and polls what runs.
+type PollRequest struct {
 	Epoch       int64 `json:"epoch"`
-	Seen        int64 `json:"seen"`
+	EndsSeen    int64 `json:"seen"`
 	LeaseMillis int64 `json:"lease-until-ms,omitempty"`
 	WaitMillis  int64 `json:"wait-ms,omitempty"`
 }
 
-// Seen is the answer to a Look.
-type Seen struct {
-	Life        string `json:"life"`
+// PollResponse is the answer to a Look.
+type PollResponse struct {
+	Incarnation string `json:"life"`
 	ClockMillis int64  `json:"clock-ms"`
 	Runs        []Run  `json:"runs"`
 	Ends        []End  `json:"ends"`
@@ -86,7 +86,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	How        string `json:"how"` // accountant.End
+	Outcome    string `json:"how"` // accountant.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
--- a/internal/worker/steerer/steerer.go
+++ b/internal/worker/steerer/steerer.go
@@ -24,13 +24,13 @@
 
 // Config holds the settings of a Steerer.
 type Config struct {
-	URL           string // of the executor, http://host:port
-	Zone          string
-	Rack          string
-	Service       string
-	Announced     func(guardian.Announcement)
-	Unreadable    func(error)
-	DescribeEvery time.Duration // default 1 s
+	URL             string // of the executor, http://host:port
+	Zone            string
+	Rack            string
+	Service         string
+	OnAnnouncement  func(guardian.Announcement)
+	OnDescribeError func(error)
+	DescribeEvery   time.Duration // default 1 s
 }
 
 // Steerer calls one executor. It is safe for concurrent use.
@@ -51,14 +51,14 @@
 
 // Calls returns the calls for a guardian.
 func (s *Steerer) Calls() guardian.Worker {
-	return guardian.Worker{Start: s.start, Stop: s.stop, Pace: s.pace, Look: s.poll}
+	return guardian.Worker{Start: s.start, Stop: s.stop, Pace: s.pace, Poll: s.poll}
 }
 
 // Run polls the executor's description until ctx ends.
 func (s *Steerer) Run(ctx context.Context) error {
 	for {
 		if err := s.describe(ctx); err != nil && ctx.Err() == nil {
-			s.config.Unreadable(err)
+			s.config.OnDescribeError(err)
 		}
 		if err := pauser.Pause(ctx, s.config.DescribeEvery); err != nil {
 			return err
@@ -72,10 +72,10 @@
 		return err
 	}
 	s.mu.Lock()
-	s.incarnation = vm.Life
+	s.incarnation = vm.Incarnation
 	s.mu.Unlock()
-	s.config.Announced(guardian.Announcement{
-		Life: vm.Life, Zone: s.config.Zone, Rack: s.config.Rack, Service: s.config.Service,
+	s.config.OnAnnouncement(guardian.Announcement{
+		Incarnation: vm.Incarnation, Zone: s.config.Zone, Rack: s.config.Rack, Service: s.config.Service,
 		Labels: vm.Labels, Capacity: vm.Capacity, Leaving: vm.Leaving,
 	})
 	return nil
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	r.Header.Set(HeaderLife, incarnation)
+	r.Header.Set(HeaderIncarnation, incarnation)
 	reply, err := s.client.Do(r)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return guardian.ErrWorkerNotExist{Cause: err}
@@ -124,7 +124,7 @@
 }
 
 func (s *Steerer) start(ctx context.Context, c guardian.StartCall) error {
-	return s.call(ctx, http.MethodPost, PathStart, c.Life, Start{
+	return s.call(ctx, http.MethodPost, PathStart, c.Incarnation, Start{
 		Task: c.Task.String(), Run: c.Run, Payload: c.Payload, Checkpoint: c.Checkpoint, Ticket: c.Ticket,
 		Epoch: c.Epoch, LeaseMillis: millis(c.Until),
 	}, nil)
@@ -138,25 +138,25 @@
 	return s.call(ctx, http.MethodPost, PathPace, s.lastIncarnation(), Pace{Task: c.Task.String(), Run: c.Run, Percent: c.Percent, Epoch: c.Epoch}, nil)
 }
 
-func (s *Steerer) poll(ctx context.Context, c guardian.LookCall) (guardian.Look, error) {
-	var a Seen
-	if err := s.call(ctx, http.MethodPost, PathLook, s.lastIncarnation(), Look{Epoch: c.Epoch, Seen: c.Seen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
-		return guardian.Look{}, err
+func (s *Steerer) poll(ctx context.Context, c guardian.PollCall) (guardian.Status, error) {
+	var a PollResponse
+	if err := s.call(ctx, http.MethodPost, PathPoll, s.lastIncarnation(), PollRequest{Epoch: c.Epoch, EndsSeen: c.EndsSeen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
+		return guardian.Status{}, err
 	}
-	l := guardian.Look{Life: a.Life, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
+	l := guardian.Status{Incarnation: a.Incarnation, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
 	for _, r := range a.Runs {
 		id, err := specifier.ParseTaskID(r.Task)
 		if err != nil {
 			return l, err
 		}
-		l.Runs = append(l.Runs, guardian.SeenRun{Task: id, Run: r.Run, Checkpoint: r.Checkpoint, Progress: r.Progress, Measure: r.Measure})
+		l.Runs = append(l.Runs, guardian.ListedRun{Task: id, Run: r.Run, Checkpoint: r.Checkpoint, Progress: r.Progress, Measure: r.Measure})
 	}
 	for _, e := range a.Ends {
 		id, err := specifier.ParseTaskID(e.Task)
 		if err != nil {
 			return l, err
 		}
-		l.Ends = append(l.Ends, guardian.SeenEnd{Seq: e.Seq, Task: id, Run: e.Run, How: e.How, Checkpoint: e.Checkpoint})
+		l.Ends = append(l.Ends, guardian.ListedEnd{Seq: e.Seq, Task: id, Run: e.Run, Outcome: e.Outcome, Checkpoint: e.Checkpoint})
 	}
 	return l, nil
 }
--- a/tests/integration/job_faults_test.go
+++ b/tests/integration/job_faults_test.go
@@ -76,7 +76,7 @@
 	}},
 	{"executor loses its state", func(ctx context.Context, r *jobTestbed) {
 		for _, vm := range r.JobVMs {
-			r.Control(vm.ExecutorURL+"/control/faults", executor.Faults{RebornNow: true})
+			r.Control(vm.ExecutorURL+"/control/faults", executor.Faults{NewIncarnation: true})
 			wait(ctx, 700*time.Millisecond)
 		}
 	}},
--- a/tests/integration/job_testbed_test.go
+++ b/tests/integration/job_testbed_test.go
@@ -146,7 +146,7 @@
 	all := make(map[string][]*span)
 	find := func(e executor.Event) *span {
 		for _, s := range all[e.Task] {
-			if s.vm == e.VM && s.incarnation == e.Life && s.run == e.Run {
+			if s.vm == e.VM && s.incarnation == e.Incarnation && s.run == e.Run {
 				return s
 			}
 		}
@@ -155,10 +155,10 @@
 	for _, e := range events {
 		switch e.Kind {
 		case "start":
-			all[e.Task] = append(all[e.Task], &span{vm: e.VM, incarnation: e.Life, run: e.Run, from: e.At})
+			all[e.Task] = append(all[e.Task], &span{vm: e.VM, incarnation: e.Incarnation, run: e.Run, from: e.At})
 		case "end":
 			if s := find(e); s != nil {
-				s.to, s.how = e.At, e.How
+				s.to, s.how = e.At, e.Outcome
 			}
 		case "acknowledged":
 			if s := find(e); s != nil {
@@ -167,7 +167,7 @@
 		case "lapse":
 			for _, runs := range all {
 				for _, s := range runs {
-					if s.vm == e.VM && s.incarnation == e.Life && !s.acknowledged && !s.to.IsZero() {
+					if s.vm == e.VM && s.incarnation == e.Incarnation && !s.acknowledged && !s.to.IsZero() {
 						s.expired = true
 					}
 				}
--- a/tests/soak/faults_test.go
+++ b/tests/soak/faults_test.go
@@ -81,7 +81,7 @@
 }
 
 var executorFaults = []executor.Faults{
-	{Refuse: true}, {Silent: true}, {LateMillis: 800}, {LateMillis: 3000}, {Leaving: true}, {SpeedPercent: 20}, {RebornNow: true}, {HoldProgress: true}, {RebornNow: true, LateMillis: 1500},
+	{Refuse: true}, {Silent: true}, {LateMillis: 800}, {LateMillis: 3000}, {Leaving: true}, {SpeedPercent: 20}, {NewIncarnation: true}, {HoldProgress: true}, {NewIncarnation: true, LateMillis: 1500},
 }
 
 var linkFaults = []proxy.Faults{
--- a/tests/soak/history_checks_test.go
+++ b/tests/soak/history_checks_test.go
@@ -16,7 +16,7 @@
 	start := time.Now().Add(-time.Minute)
 	second := func(n float64) time.Time { return start.Add(time.Duration(n * float64(time.Second))) }
 	event := func(at float64, vm, kind, task string, run int64, how string) executor.Event {
-		return executor.Event{At: second(at), VM: vm, Life: "1", Kind: kind, Task: job + "." + task, Run: run, How: how}
+		return executor.Event{At: second(at), VM: vm, Incarnation: "1", Kind: kind, Task: job + "." + task, Run: run, Outcome: how}
 	}
 	needs := specifier.Resources{CPUMillis: vmMillis, MemoryMB: 100}
 	spec := &specifier.Job{ID: job, Steps: []specifier.Step{{Count: 1, Needs: needs}, {Count: 1, Needs: needs, After: []int{0}}}}
--- a/tests/soak/history_test.go
+++ b/tests/soak/history_test.go
@@ -61,20 +61,20 @@
 		if e.At.After(until) {
 			break
 		}
-		key := fmt.Sprint(e.VM, e.Life, e.Task, e.Run)
+		key := fmt.Sprint(e.VM, e.Incarnation, e.Task, e.Run)
 		s := open[key]
 		switch {
 		case e.Kind == "start":
 			id, _ := specifier.ParseTaskID(e.Task)
-			s = &span{task: e.Task, id: id, vm: e.VM, incarnation: e.Life, run: e.Run, from: e.At}
+			s = &span{task: e.Task, id: id, vm: e.VM, incarnation: e.Incarnation, run: e.Run, from: e.At}
 			open[key] = s
 			h.tasks[e.Task] = append(h.tasks[e.Task], s)
 		case e.Kind == "lapse":
 			for _, other := range open {
-				other.expired = other.expired || other.vm == e.VM && other.incarnation == e.Life && other.acknowledged.IsZero()
+				other.expired = other.expired || other.vm == e.VM && other.incarnation == e.Incarnation && other.acknowledged.IsZero()
 			}
 		case s != nil && e.Kind == "end":
-			s.to, s.how = e.At, e.How
+			s.to, s.how = e.At, e.Outcome
 		case s != nil && e.Kind == "acknowledged":
 			s.acknowledged = e.At
 		}
