--- a/internal/job/accountant/accountant_test.go
+++ b/internal/job/accountant/accountant_test.go
@@ -174,8 +174,8 @@
 	a := newState(t, 1)
 	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Checkpoints: true})
 	vm := attach(a, "vm")
-	for run, how := range []End{EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost} {
-		a.EndRun(vm, key(1, 0, 0, int64(run+1)), how, "c", at(10))
+	for run, outcome := range []End{EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost} {
+		a.EndRun(vm, key(1, 0, 0, int64(run+1)), outcome, "c", at(10))
 	}
 	task := j.Occurrences[0].Steps[0].Tasks[0]
 	if j.State.Final() || len(task.Failed) != 0 || task.Checkpoint != "c" || a.NextNumber(task) != 6 {
--- a/internal/job/accountant/job.go
+++ b/internal/job/accountant/job.go
@@ -10,11 +10,11 @@
 
 // AddJob adds an accepted job and reports whether it is new. A known job is left
 // unchanged, so a repeated submission does not create a second one.
-func (a *Accountant) AddJob(spec *specifier.Job, reconciledAt, now time.Time) bool {
+func (a *Accountant) AddJob(spec *specifier.Job, reconcileAt, now time.Time) bool {
 	if a.Jobs[spec.ID] != nil {
 		return false
 	}
-	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, ReconcileAt: reconciledAt}
+	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, ReconcileAt: reconcileAt}
 	j.Queue, _ = a.policy.QueueByName(spec.Queue)
 	a.Jobs[spec.ID] = j
 	a.open = nil
--- a/internal/job/accountant/report.go
+++ b/internal/job/accountant/report.go
@@ -26,8 +26,7 @@
 	UnconfirmedStarts []UnconfirmedStart
 }
 
-// UnconfirmedStart is an unconfirmed start: a start call that was not answered and may still
-// be carried out.
+// UnconfirmedStart is a start call that was not answered and may still be carried out.
 type UnconfirmedStart struct {
 	Key RunKey
 	Age time.Duration // since it was sent
@@ -84,11 +83,11 @@
 
 // Attach opens a session of a VM's agent. Orders of an earlier session have expired: the
 // agent refuses those that it has not received.
-func (a *Accountant) Attach(f VMInfo, rep Report, now time.Time) (*VM, Changes) {
-	vm := a.VMs[f.Name]
+func (a *Accountant) Attach(info VMInfo, rep Report, now time.Time) (*VM, Changes) {
+	vm := a.VMs[info.Name]
 	if vm == nil {
-		vm = &VM{Name: f.Name, Runs: make(map[RunKey]*Run)}
-		a.VMs[f.Name] = vm
+		vm = &VM{Name: info.Name, Runs: make(map[RunKey]*Run)}
+		a.VMs[info.Name] = vm
 	}
 	restarted := vm.Process != 0 && vm.Process != rep.Process
 	vm.Attached, vm.Process = true, rep.Process
@@ -102,7 +101,7 @@
 			r.Order = orderUnknown
 		}
 	}
-	a.UpdateInfo(vm, f)
+	a.UpdateInfo(vm, info)
 	rep.OrdersSeen = 0
 	return vm, a.Apply(vm, rep, now)
 }
@@ -151,10 +150,10 @@
 
 // UpdateInfo records an agent's description of its VM. Another incarnation of the worker may
 // have another ID and run on another kind of VM.
-func (a *Accountant) UpdateInfo(vm *VM, f VMInfo) {
-	vm.Zone, vm.Rack, vm.Service, vm.Capacity, vm.WorkerID = f.Zone, f.Rack, f.Service, f.Capacity, f.WorkerID
-	vm.Labels = make(map[string]bool, len(f.Labels))
-	for _, l := range f.Labels {
+func (a *Accountant) UpdateInfo(vm *VM, info VMInfo) {
+	vm.Zone, vm.Rack, vm.Service, vm.Capacity, vm.WorkerID = info.Zone, info.Rack, info.Service, info.Capacity, info.WorkerID
+	vm.Labels = make(map[string]bool, len(info.Labels))
+	for _, l := range info.Labels {
 		vm.Labels[l] = true
 	}
 }
--- a/internal/job/accountant/run.go
+++ b/internal/job/accountant/run.go
@@ -177,11 +177,11 @@
 )
 
 // EndRun applies the end of a run. The run need not be known.
-func (a *Accountant) EndRun(vm *VM, key RunKey, how End, checkpoint string, now time.Time) {
+func (a *Accountant) EndRun(vm *VM, key RunKey, outcome End, checkpoint string, now time.Time) {
 	r := vm.Runs[key]
 	t := a.Find(key.Task)
 	delete(vm.unconfirmedStarts, key)
-	if r != nil && how == EndDone {
+	if r != nil && outcome == EndDone {
 		a.recordRuntime(r, now)
 	}
 	if r != nil {
@@ -196,12 +196,12 @@
 	if checkpoint != "" && t.Step.Spec.Checkpoints {
 		t.Checkpoint = checkpoint
 	}
-	if how != EndStopped {
+	if outcome != EndStopped {
 		t.Relocation = Relocation{}
 	} else if t.Relocation.Hold > 0 {
 		t.Relocation.Until = now.Add(t.Relocation.Hold)
 	}
-	switch how {
+	switch outcome {
 	case EndDone:
 		delete(vm.Health.Failed, key.Task)
 		vm.clearHealth()
--- a/internal/job/accountant/state.go
+++ b/internal/job/accountant/state.go
@@ -252,7 +252,7 @@
 	LongRunningCPU    int64 // thousandths of a core that they declare
 	Runs              map[RunKey]*Run
 	unknownSizeRuns   int // number of its runs of unknown size
-	unconfirmedStarts map[RunKey]unconfirmedStart
+	unconfirmedStarts map[RunKey]recordedStart
 	Version           int64 // increases with each change of the runs or of their reported data
 	// GrantedAt is when the last report was answered. From then on, the agent may keep
 	// its tasks running for the time granted.
@@ -286,7 +286,7 @@
 	Failed                 map[specifier.TaskID]time.Time // tasks that failed on it since its last success
 	QuarantinedUntil       time.Time                      // end of the quarantine
 	Cause                  string                         // of the quarantine
-	ConsecutiveQuarantines int                            // number of consecutive quarantines
+	ConsecutiveQuarantines int
 }
 
 // Accountant is the state of a cell.
@@ -296,7 +296,7 @@
 	policy   *specifier.Policy
 	ended    []*Job
 	open     []string // sorted IDs of the jobs that have not ended; nil: to be rebuilt
-	moving   []*Task  // tasks with a move; may include some whose move has ended
+	moving   []*Task  // tasks with a relocation; may include some whose relocation has ended
 	runFloor int64    // run numbers of this owner are higher
 
 	runtimeRatios map[string]float64 // by queue
--- a/internal/job/accountant/unconfirmed.go
+++ b/internal/job/accountant/unconfirmed.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// UnconfirmedStartMaxAge is how long after a start call was sent without an answer the start may still be
-// carried out. The users' platform documents a maximum of 12 s.
+// UnconfirmedStartMaxAge is how long after a start call was sent without an answer the start
+// may still be carried out. The users' platform documents a maximum of 12 s.
 const UnconfirmedStartMaxAge = 15 * time.Second
 
-// unconfirmedStart is a start call that was not answered. It does not reserve the task; the
+// recordedStart is a start call that was not answered. It does not reserve the task; the
 // run does, for as long as it is counted on the VM.
-type unconfirmedStart struct {
+type recordedStart struct {
 	sentAt  time.Time
 	process int64 // process of the agent that reported it; 0: one that has ended
 }
@@ -22,8 +22,8 @@
 			delete(vm.unconfirmedStarts, key)
 		}
 	}
-	for _, d := range rep.UnconfirmedStarts {
-		vm.recordUnconfirmedStart(d.Key, unconfirmedStart{sentAt: now.Add(-d.Age), process: rep.Process})
+	for _, s := range rep.UnconfirmedStarts {
+		vm.recordUnconfirmedStart(s.Key, recordedStart{sentAt: now.Add(-s.Age), process: rep.Process})
 	}
 }
 
@@ -36,13 +36,13 @@
 			continue
 		}
 		r.Unconfirmed, r.Order = false, 0
-		vm.recordUnconfirmedStart(key, unconfirmedStart{sentAt: now})
+		vm.recordUnconfirmedStart(key, recordedStart{sentAt: now})
 	}
 }
 
-func (vm *VM) recordUnconfirmedStart(key RunKey, u unconfirmedStart) {
+func (vm *VM) recordUnconfirmedStart(key RunKey, u recordedStart) {
 	if vm.unconfirmedStarts == nil {
-		vm.unconfirmedStarts = make(map[RunKey]unconfirmedStart)
+		vm.unconfirmedStarts = make(map[RunKey]recordedStart)
 	}
 	vm.unconfirmedStarts[key] = u
 }
--- a/internal/job/planner/advise.go
+++ b/internal/job/planner/advise.go
@@ -17,15 +17,16 @@
 	ticketMargin = 300 * time.Millisecond
 )
 
-// AdviceRequest is a request for tickets for a step.
+// AdviceRequest is a request to the advising service for tickets for a step.
 type AdviceRequest struct {
 	Step *accountant.Step
 	VMs  []*accountant.VM
 }
 
-// NextAdviceRequest returns the most urgent request for the advising service, if there is one: for a step
-// without a valid ticket for any usable VM with enough free capacity. VMs with the most free
-// capacity come first. VMs that already have an answer without a valid ticket come last.
+// NextAdviceRequest returns the most urgent request for the advising service, if there is one:
+// for a step without a valid ticket for any usable VM with enough free capacity. VMs with the
+// most free capacity come first. VMs that already have an answer without a valid ticket come
+// last.
 func NextAdviceRequest(in Input) (AdviceRequest, bool) {
 	for _, s := range order(in, in.State.WaitingSteps(in.Now)) {
 		if !s.Occurrence.Job.Queue.Advised || in.Now.Before(s.AdviseAt) {
--- a/internal/job/planner/bench_test.go
+++ b/internal/job/planner/bench_test.go
@@ -55,9 +55,9 @@
 		for range 3 {
 			fleet.job("urgent", specifier.Step{Count: 10, Needs: cores(1), EstimateMillis: 800})
 		}
-		for _, memory := range []*Cache{nil, NewCache()} {
-			in.Cache = memory
-			b.Run(fmt.Sprintf("vms-%d/memory-%t", vms, memory != nil), func(b *testing.B) {
+		for _, cache := range []*Cache{nil, NewCache()} {
+			in.Cache = cache
+			b.Run(fmt.Sprintf("vms-%d/cache-%t", vms, cache != nil), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					Plan(in)
@@ -77,7 +77,7 @@
 		{"paces", func(in Input) { Paces(in) }},
 		{"moves", func(in Input) { Moves(in) }},
 		{"evictions", func(in Input) { Evictions(in) }},
-		{"learn-one-report", func(in Input) { ObserveReport(learner.New(), in.State.VMs["vm-000"], in.Now) }},
+		{"observe-one-report", func(in Input) { ObserveReport(learner.New(), in.State.VMs["vm-000"], in.Now) }},
 		{"stalled", func(in Input) { in.State.Stalled(in.Now) }},
 		{"unwanted", func(in Input) { in.State.Unwanted() }},
 		{"open-due", func(in Input) { in.State.OpenDue(in.Now) }},
--- a/internal/job/planner/cache.go
+++ b/internal/job/planner/cache.go
@@ -10,7 +10,7 @@
 // Cache caches results between rounds that are expensive to compute and change little: the
 // headroom left to the long-running tasks of a VM, and the processors that best-effort images
 // may use. Computed for all VMs in each round, these would delay starts on a large fleet if
-// the owner has little processor time. A nil Memory caches nothing. It is used by one
+// the owner has little processor time. A nil Cache caches nothing. It is used by one
 // goroutine.
 type Cache struct {
 	vms         map[string]cachedVM
@@ -20,7 +20,7 @@
 	demandAt    time.Time
 }
 
-// NewCache returns an empty Memory.
+// NewCache returns an empty Cache.
 func NewCache() *Cache { return &Cache{vms: make(map[string]cachedVM)} }
 
 // cacheTTL is how long an entry is valid: reports arrive at this interval.
--- a/internal/job/planner/defragment.go
+++ b/internal/job/planner/defragment.go
@@ -6,7 +6,7 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// maxMoveSearches is for how many steps a round searches for a move that makes room: on a full
+// maxMoveSearches is for how many steps a round searches for a move that frees capacity: on a full
 // fleet none is found for any, and each search examines all pairs of VMs.
 const maxMoveSearches = 2
 
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -74,7 +74,7 @@
 	scratchA, scratchB []float64 // usable on the two VMs of the exchange under evaluation
 }
 
-// Moves returns the long-running runs to move now: either one that makes room for a
+// Moves returns the long-running runs to move now: either one that frees capacity for a
 // long-running task that fits on no VM, or all of one image from a VM to another, possibly in
 // exchange for all of one image from there.
 func Moves(in Input) []Move {
@@ -174,7 +174,7 @@
 	if gain < minMoveGain || len(m.moves) > 0 && gain <= m.moves[0].Gain {
 		return
 	}
-	if !withinMaxAway(g.runs, h.runs) || !fits(g, h) || !fits(h, g) {
+	if !withinMaxUnavailable(g.runs, h.runs) || !fits(g, h) || !fits(h, g) {
 		return
 	}
 	m.moves = nil
@@ -248,10 +248,10 @@
 	return true
 }
 
-// withinMaxAway reports whether the runs can stop together without more tasks of any step
+// withinMaxUnavailable reports whether the runs can stop together without more tasks of any step
 // becoming unavailable than its limit allows. Tasks that are unavailable already are not
 // counted: mayMove excludes the runs of their steps.
-func withinMaxAway(lists ...[]*accountant.Run) bool {
+func withinMaxUnavailable(lists ...[]*accountant.Run) bool {
 	moving := make(map[*accountant.Step]int)
 	for _, runs := range lists {
 		for _, run := range runs {
--- a/internal/job/planner/move_test.go
+++ b/internal/job/planner/move_test.go
@@ -179,7 +179,7 @@
 }
 
 // A step allows one of its tasks to be unavailable. Two of them must not leave a VM at once.
-func TestMovesRespectMaxAway(t *testing.T) {
+func TestMovesRespectMaxUnavailable(t *testing.T) {
 	for _, unavailable := range []int{0, 1, 2} {
 		f := newMixedFleet(4)
 		for _, j := range f.jobs {
@@ -248,7 +248,7 @@
 
 // Two tasks of a step that allows one to be unavailable must not leave their VM together;
 // tasks of two jobs may.
-func TestWithinMaxAway(t *testing.T) {
+func TestWithinMaxUnavailable(t *testing.T) {
 	f := newMixedFleet(2)
 	a0, a1, b0 := longRunningRunsOf(f.vms[0], "a")[0], longRunningRunsOf(f.vms[1], "a")[0], longRunningRunsOf(f.vms[0], "b")[0]
 	tests := []struct {
@@ -267,10 +267,10 @@
 			for _, j := range f.jobs {
 				j.Spec.Steps[0].MaxUnavailable = tt.unavailable
 			}
-			if got := withinMaxAway(tt.runs); got != tt.want {
+			if got := withinMaxUnavailable(tt.runs); got != tt.want {
 				t.Errorf("may leave together: %t", got)
 			}
-			if got := withinMaxAway(tt.runs[:1], tt.runs[1:]); got != tt.want {
+			if got := withinMaxUnavailable(tt.runs[:1], tt.runs[1:]); got != tt.want {
 				t.Errorf("may be exchanged: %t", got)
 			}
 		})
--- a/internal/job/planner/pace.go
+++ b/internal/job/planner/pace.go
@@ -26,16 +26,16 @@
 }
 
 // Paces returns the runs whose pace should change, based on the long-running tasks of each VM.
-// The state of the evaluation is kept in the VM's Harm.
+// The state of the evaluation is kept in the VM's Throttle field.
 func Paces(in Input) []Pace {
 	var paces []Pace
 	for _, vm := range in.State.VMs {
 		if !vm.Attached {
 			continue
 		}
-		h := observe(vm, in.Now)
+		state := observe(vm, in.Now)
 		for _, p := range throttledPaces(in, vm) {
-			if p.Percent = min(p.Percent, h.Percent); p.Percent != p.Run.Pace {
+			if p.Percent = min(p.Percent, state.Percent); p.Percent != p.Run.Pace {
 				paces = append(paces, p)
 			}
 		}
@@ -45,49 +45,49 @@
 
 // observe updates the throttling state of a VM and returns it.
 func observe(vm *accountant.VM, now time.Time) *accountant.ThrottleState {
-	h := &vm.Throttle
-	if h.ChangedAt.IsZero() {
-		h.Percent, h.ChangedAt = paceFull, now
+	state := &vm.Throttle
+	if state.ChangedAt.IsZero() {
+		state.Percent, state.ChangedAt = paceFull, now
 	}
 	if !tailOverTarget(vm) {
-		h.OverSince = time.Time{}
-		if h.UnderSince.IsZero() {
-			h.UnderSince = now
+		state.OverSince = time.Time{}
+		if state.UnderSince.IsZero() {
+			state.UnderSince = now
 		}
-		raisePace(h, now)
-		return h
+		raisePace(state, now)
+		return state
 	}
-	h.UnderSince = time.Time{}
-	if h.OverSince.IsZero() {
-		h.OverSince = now
+	state.UnderSince = time.Time{}
+	if state.OverSince.IsZero() {
+		state.OverSince = now
 	}
-	over := now.Sub(h.OverSince)
+	over := now.Sub(state.OverSince)
 	switch {
 	case over >= paceStopAfter:
-		setPace(h, 0, now)
+		setPace(state, 0, now)
 	case over >= paceLowAfter:
-		setPace(h, min(h.Percent, paceLow), now)
+		setPace(state, min(state.Percent, paceLow), now)
 	}
-	return h
+	return state
 }
 
-func raisePace(h *accountant.ThrottleState, now time.Time) {
-	if h.Percent == paceFull || now.Sub(h.UnderSince) < paceRaiseAfter || now.Sub(h.ChangedAt) < paceRaiseAfter {
+func raisePace(state *accountant.ThrottleState, now time.Time) {
+	if state.Percent == paceFull || now.Sub(state.UnderSince) < paceRaiseAfter || now.Sub(state.ChangedAt) < paceRaiseAfter {
 		return
 	}
 	switch {
-	case h.Percent < paceLow:
-		setPace(h, paceLow, now)
-	case h.Percent < paceMiddle:
-		setPace(h, paceMiddle, now)
+	case state.Percent < paceLow:
+		setPace(state, paceLow, now)
+	case state.Percent < paceMiddle:
+		setPace(state, paceMiddle, now)
 	default:
-		setPace(h, paceFull, now)
+		setPace(state, paceFull, now)
 	}
 }
 
-func setPace(h *accountant.ThrottleState, percent int, now time.Time) {
-	if h.Percent != percent {
-		h.Percent, h.ChangedAt = percent, now
+func setPace(state *accountant.ThrottleState, percent int, now time.Time) {
+	if state.Percent != percent {
+		state.Percent, state.ChangedAt = percent, now
 	}
 }
 
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -1,7 +1,7 @@
 // Package planner decides which tasks start on which VMs, and which runs to stop, move or
 // throttle. It performs no I/O: it reads the accountant's state and the time passed in, and
-// changes nothing, except that Learn updates the learner, Paces updates the throttling state of
-// VMs, and rounds store results in Memory.
+// changes nothing, except that ObserveReport updates the learner, Paces updates the throttling
+// state of VMs, and rounds store results in Cache.
 package planner
 
 import (
--- a/internal/job/planner/planner_test.go
+++ b/internal/job/planner/planner_test.go
@@ -288,12 +288,12 @@
 	next := specifier.Step{Count: 8, Needs: cores(1), EstimateMillis: 1000, After: []int{0}}
 	small := specifier.Step{Count: 2, Needs: cores(1), EstimateMillis: 1000}
 	tests := []struct {
-		name    string
-		jobs    []specifier.Job // steps only
-		done    map[int]int     // completed tasks, by job number from 1
-		stretch float64         // actual over declared duration of tasks
-		now     time.Duration
-		want    int // job whose task starts first
+		name         string
+		jobs         []specifier.Job // steps only
+		done         map[int]int     // completed tasks, by job number from 1
+		runtimeRatio float64         // actual over declared duration of tasks
+		now          time.Duration
+		want         int // job whose task starts first
 	}{
 		{"one nearly done before an equal one", []specifier.Job{{Steps: []specifier.Step{wide, next}}, {Steps: []specifier.Step{wide, next}}}, map[int]int{2: 6}, 1, 0, 2},
 		{"a large one accepted first before a small one", []specifier.Job{{Steps: []specifier.Step{wide}}, {Steps: []specifier.Step{small}}}, nil, 1, 0, 1},
@@ -313,7 +313,7 @@
 					b.state.EndRun(vm, r.Key(), accountant.EndDone, "", begin)
 				}
 			}
-			b.stretch(vm, tt.stretch)
+			b.completeRuns(vm, tt.runtimeRatio)
 			starts := b.plan(begin.Add(tt.now))
 			if len(starts) != 1 || starts[0].Task.ID().Job != jobID(tt.want) {
 				t.Errorf("starts %v, want of job %d", vmsByTask(starts), tt.want)
@@ -322,8 +322,8 @@
 	}
 }
 
-// stretch completes runs of the queue whose durations are a multiple of those declared.
-func (b *fixture) stretch(vm *accountant.VM, factor float64) {
+// completeRuns completes runs of the queue whose durations are a multiple of those declared.
+func (b *fixture) completeRuns(vm *accountant.VM, factor float64) {
 	j := b.job("batch", specifier.Step{Count: 200, Needs: cores(1), EstimateMillis: 1000})
 	for _, t := range j.Occurrences[0].Steps[0].Tasks {
 		r := b.state.Place(t, vm, 1, begin)
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -139,7 +139,7 @@
 }
 
 // reserveUnlessRotation reserves capacity for an overdue task unless another long-running task
-// is expected to make room for it soon.
+// is expected to free capacity for it soon.
 func (r *round) reserveUnlessRotation(t *accountant.Task) {
 	if r.underPressure() && r.now.Sub(t.WaitSince) < returnAfterPressure+rotationWait {
 		r.reservationsRequested++
--- a/internal/job/planner/reservation_test.go
+++ b/internal/job/planner/reservation_test.go
@@ -91,11 +91,11 @@
 			continue
 		}
 		delete(r.ends, run)
-		how := accountant.EndDone
+		outcome := accountant.EndDone
 		if run.State == accountant.Stopping {
-			how = accountant.EndStopped
+			outcome = accountant.EndStopped
 		}
-		r.state.EndRun(run.VM, run.Key(), how, "", r.now)
+		r.state.EndRun(run.VM, run.Key(), outcome, "", r.now)
 	}
 }
 
--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -11,7 +11,7 @@
 // Limits of yields. They cover a load under which long-running tasks have reserved nearly all
 // processors before urgent tasks arrive: urgent tasks that take a second queue up behind
 // others that run for a minute, and the queue grows until the traffic ends. One long-running
-// task makes room for a dozen of them in sequence, and its users keep the other tasks of its
+// task frees capacity for a dozen of them in sequence, and its users keep the other tasks of its
 // job.
 const (
 	// yieldAfter is how long an urgent task waits for capacity before a long-running one
@@ -28,7 +28,7 @@
 	maxYields = 3
 )
 
-// Yields returns the long-running runs to stop to make room for urgent tasks, and whether any
+// Yields returns the long-running runs to stop to free capacity for urgent tasks, and whether any
 // urgent task has waited too long for capacity.
 func Yields(in Input) (runs []*accountant.Run, underPressure bool) {
 	r := newRound(in)
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -122,11 +122,11 @@
 func TestSubmitThroughOwner(t *testing.T) {
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
 	tests := []struct {
-		name    string
-		outcome messenger.WorkStoreOutcome
-		err     error
-		notDone bool
-		want    Outcome
+		name        string
+		outcome     messenger.WorkStoreOutcome
+		err         error
+		hadNoEffect bool
+		want        Outcome
 	}{
 		{"stored", messenger.WorkStored, nil, false, Accepted},
 		{"refused at the owner too", messenger.WorkRefused, nil, false, Refused},
@@ -142,7 +142,7 @@
 				}
 				return tt.err
 			})
-			r.config.HadNoEffect = func(error) bool { return tt.notDone }
+			r.config.HadNoEffect = func(error) bool { return tt.hadNoEffect }
 			if res := r.Submit(t.Context(), &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}}); res.Outcome != tt.want {
 				t.Errorf("outcome %d (%s), want %d", res.Outcome, res.Reason, tt.want)
 			}
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -18,9 +18,9 @@
 	adviceQueueTime = 2 * time.Second
 )
 
-// askAdvice calls the advising service. It sends one request at a time, since the service
+// requestAdvice calls the advising service. It sends one request at a time, since the service
 // accepts only one at a time from each VM.
-func (o *owner) askAdvice(ctx context.Context, now time.Time) {
+func (o *owner) requestAdvice(ctx context.Context, now time.Time) {
 	if o.advicePending || o.s.config.Advise == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 	o.advicePending = true
 	queue := q.Step.Occurrence.Job.Queue
 	id := fmt.Sprintf("%s.%d.%d", q.Step.Occurrence.Job.Spec.ID, q.Step.Occurrence.Number, q.Step.Number)
-	e := &adviceResult{question: q, step: id, incarnations: make(map[string]string), until: now.Add(queue.AdviceValid)}
+	e := &adviceResult{request: q, step: id, incarnations: make(map[string]string), until: now.Add(queue.AdviceValid)}
 	var workers []string
 	for _, vm := range q.VMs {
 		workers = append(workers, vm.WorkerID)
@@ -48,7 +48,7 @@
 
 // adviceResult is the answer of the advising service.
 type adviceResult struct {
-	question     planner.AdviceRequest
+	request      planner.AdviceRequest
 	step         string
 	incarnations map[string]string // of the workers at the time of the request, by VM
 	until        time.Time
@@ -58,12 +58,12 @@
 
 func (e *adviceResult) apply(o *owner, now time.Time) {
 	o.advicePending, o.dirty = false, true
-	s := e.question.Step
+	s := e.request.Step
 	if s.Tickets == nil {
 		s.Tickets = make(map[string]accountant.Ticket)
 	}
 	allowed := 0
-	for _, vm := range e.question.VMs {
+	for _, vm := range e.request.VMs {
 		text, ok := e.tickets[vm.WorkerID]
 		t := accountant.Ticket{Incarnation: e.incarnations[vm.Name]} // an empty ticket records a refusal
 		if ok {
@@ -77,7 +77,7 @@
 	if allowed == 0 {
 		s.AdviseAt = now.Add(adviceRetryDelay)
 	}
-	fields := reporter.Fields{"step": e.step, "asked": len(e.question.VMs), "allowed": allowed}
+	fields := reporter.Fields{"step": e.step, "asked": len(e.request.VMs), "allowed": allowed}
 	if e.err != nil {
 		fields["error"] = e.err.Error()
 	}
--- a/internal/job/scheduler/bench_test.go
+++ b/internal/job/scheduler/bench_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := messenger.WorkReport{VM: "vm", Session: 1, Process: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{Zone: "z", Rack: "r", Service: "s", Labels: []string{"a", "r1-3"}, Capacity: specifier.Resources{CPUMillis: 64_000, MemoryMB: 256_000}}}
+	r := messenger.WorkReport{VM: "vm", Session: 1, Process: 1, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{Zone: "z", Rack: "r", Service: "s", Labels: []string{"a", "r1-3"}, Capacity: specifier.Resources{CPUMillis: 64_000, MemoryMB: 256_000}}}
 	for i := range 14 {
 		r.Runs = append(r.Runs, messenger.WorkRun{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", i), Run: 1, Confirmed: true, Checkpoint: "00000bb87a21d94b", Progress: 41, Measure: 6150})
 	}
--- a/internal/job/scheduler/members_test.go
+++ b/internal/job/scheduler/members_test.go
@@ -24,11 +24,11 @@
 // applyReport applies a report and reports whether it was accepted.
 func applyReport(t *testing.T, o *owner, c *connector.Conn, r messenger.WorkReport) bool {
 	t.Helper()
-	parsed, facts, err := parseReport(r)
+	parsed, info, err := parseReport(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := reportReceived{conn: c, report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, report: r, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 	e.apply(o, time.Now())
 	return (<-e.answer).Epoch != 0
 }
@@ -45,7 +45,7 @@
 		return 1, nil
 	})
 	c := new(connector.Conn)
-	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
+	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{}}
 	store := func() {
 		o.storeMembers(t.Context())
 		if o.storingMembers {
@@ -84,12 +84,12 @@
 	o.started = time.Now().Add(-time.Minute)
 	o.checkVMContact(time.Now())
 	o.storeMembers(t.Context())
-	r := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
-	parsed, facts, err := parseReport(r)
+	r := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{}}
+	parsed, info, err := parseReport(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := reportReceived{conn: new(connector.Conn), report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: new(connector.Conn), report: r, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 	e.apply(o, time.Now())
 	close(hold)
 	(<-o.events).apply(o, time.Now())
@@ -98,14 +98,14 @@
 	}
 }
 
-// Guards against an owner that plans with facts of a worker's earlier incarnation: after a
+// Guards against an owner that plans with the description of a worker's earlier incarnation: after a
 // reboot, the worker has another id and possibly another capacity.
-func TestFactsOfNewIncarnationWithinSession(t *testing.T) {
+func TestVMInfoOfNewIncarnationWithinSession(t *testing.T) {
 	o := newTestOwner(nil)
 	c := new(connector.Conn)
-	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{WorkerID: "id-1", Capacity: specifier.Resources{CPUMillis: 1000}}}
+	report := messenger.WorkReport{VM: "vm-1", Process: 1, Session: 1, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{WorkerID: "id-1", Capacity: specifier.Resources{CPUMillis: 1000}}}
 	applyReport(t, o, c, report)
-	report.Incarnation, report.Facts = "2", &messenger.WorkFacts{WorkerID: "id-2", Capacity: specifier.Resources{CPUMillis: 2000}}
+	report.Incarnation, report.VMInfo = "2", &messenger.WorkVMInfo{WorkerID: "id-2", Capacity: specifier.Resources{CPUMillis: 2000}}
 	applyReport(t, o, c, report)
 	if vm := o.state.VMs["vm-1"]; vm.WorkerID != "id-2" || vm.Capacity.CPUMillis != 2000 {
 		t.Errorf("incarnation %s has id %s and %d thousandths of a core", vm.Incarnation, vm.WorkerID, vm.Capacity.CPUMillis)
--- a/internal/job/scheduler/metrics.go
+++ b/internal/job/scheduler/metrics.go
@@ -9,15 +9,15 @@
 	"bamboospread/internal/job/accountant"
 )
 
-// Metrics counts an owner's decisions. A nil Meters counts nothing.
+// Metrics counts an owner's decisions. A nil Metrics counts nothing.
 type Metrics struct{ set *metrics.Set }
 
-// NewMetrics returns Meters that registers its metrics in set.
+// NewMetrics returns a Metrics that registers its metrics in set.
 func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (m *Metrics) runEnded(how accountant.End) {
+func (m *Metrics) runEnded(outcome accountant.End) {
 	if m != nil {
-		m.set.GetOrCreateCounter(fmt.Sprintf(`bamboospread_job_runs_ended_total{how=%q}`, how)).Inc()
+		m.set.GetOrCreateCounter(fmt.Sprintf(`bamboospread_job_runs_ended_total{how=%q}`, outcome)).Inc()
 	}
 }
 
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -73,7 +73,7 @@
 
 	state               *accountant.Accountant
 	learner             *learner.Learner
-	memory              *planner.Cache
+	cache               *planner.Cache
 	sessions            map[string]*session  // by VM
 	cancelled           map[string]bool      // stored cancellations, also of jobs that are not known yet
 	members             map[string]bool      // VMs that are stored as members and may be granted leases
@@ -104,7 +104,7 @@
 
 func newOwner(s *Scheduler, epoch int64, state *accountant.Accountant, now time.Time) *owner {
 	return &owner{
-		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, memory: planner.NewCache(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
+		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, cache: planner.NewCache(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
 		restorers: make(map[*connector.Conn]*abridger.Restorer),
 		sessions:  make(map[string]*session), cancelled: make(map[string]bool), members: make(map[string]bool), listed: make(map[string]bool),
 		joining: make(map[string]bool), leaving: make(map[string]bool), unreported: make(map[string]bool), reportedQuarantines: make(map[string]time.Time), waitReportedAt: make(map[string]time.Time), dirty: true, removeEndedAt: now.Add(removeEndedInterval),
@@ -206,7 +206,7 @@
 	o.stopUnneeded()
 	o.reportOverdueStops(now)
 	o.checkHealth(now)
-	o.askAdvice(ctx, now)
+	o.requestAdvice(ctx, now)
 	o.adjustPaces(now)
 	o.rearrange(now)
 	o.reportWaits(now)
@@ -308,7 +308,7 @@
 
 // input returns the input to a round of decisions.
 func (o *owner) input(now time.Time) planner.Input {
-	return planner.Input{Now: now, State: o.state, Learner: o.learner, UrgentDelayedAt: o.urgentDelayedAt, Cache: o.memory}
+	return planner.Input{Now: now, State: o.state, Learner: o.learner, UrgentDelayedAt: o.urgentDelayedAt, Cache: o.cache}
 }
 
 func (o *owner) startWaitingTasks(now time.Time) {
--- a/internal/job/scheduler/policy_test.go
+++ b/internal/job/scheduler/policy_test.go
@@ -35,13 +35,13 @@
 			o.members["vm-1"] = true
 			r := messenger.WorkReport{
 				VM: "vm-1", Session: 1, Incarnation: "1", Ready: true, Granted: true,
-				Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
+				VMInfo: &messenger.WorkVMInfo{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 			}
-			parsed, facts, err := parseReport(r)
+			parsed, info, err := parseReport(r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			e := reportReceived{report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+			e := reportReceived{report: r, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 			e.apply(o, now)
 			age = tt.age
 			state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: specifier.Resources{CPUMillis: 1}}}}, time.Time{}, now)
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -47,7 +47,7 @@
 	conn     *connector.Conn
 	connDone <-chan struct{} // closed with the connection
 	report   messenger.WorkReport
-	facts    accountant.VMInfo
+	info     accountant.VMInfo
 	parsed   accountant.Report
 	answer   chan messenger.WorkReply
 }
@@ -59,12 +59,12 @@
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	parsed, facts, err := parseReport(r)
+	parsed, info, err := parseReport(r)
 	if err != nil {
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	e := reportReceived{conn: c, connDone: ctx.Done(), report: r, facts: facts, parsed: parsed, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, connDone: ctx.Done(), report: r, info: info, parsed: parsed, answer: make(chan messenger.WorkReply, 1)}
 	if err := o.send(ctx, e); err != nil {
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeNotOwner, "%v", err)
 	}
@@ -113,7 +113,7 @@
 	var changes accountant.Changes
 	if s == nil || s.conn != e.conn {
 		var vm *accountant.VM
-		vm, changes = o.state.Attach(e.facts, e.parsed, now)
+		vm, changes = o.state.Attach(e.info, e.parsed, now)
 		s = s.next(vm, e)
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
 		o.sessions[vm.Name] = s
@@ -126,8 +126,8 @@
 	} else {
 		o.dirty = o.dirty || s.vm.Ready != e.parsed.Ready || !s.vm.Attached
 		s.vm.Attached = true
-		if e.report.Facts != nil {
-			o.state.UpdateInfo(s.vm, e.facts)
+		if e.report.VMInfo != nil {
+			o.state.UpdateInfo(s.vm, e.info)
 		}
 		changes = o.state.Apply(s.vm, e.parsed, now)
 	}
@@ -280,12 +280,12 @@
 		}
 		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, accountant.UnconfirmedStart{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
 	}
-	facts := accountant.VMInfo{Name: r.VM}
-	if f := r.Facts; f != nil {
-		facts.Zone, facts.Rack, facts.Service, facts.Labels, facts.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
-		facts.WorkerID = f.WorkerID
+	info := accountant.VMInfo{Name: r.VM}
+	if f := r.VMInfo; f != nil {
+		info.Zone, info.Rack, info.Service, info.Labels, info.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
+		info.WorkerID = f.WorkerID
 	}
-	return rep, facts, nil
+	return rep, info, nil
 }
 
 func (o *owner) orderStart(s *session, start planner.Start, now time.Time) {
--- a/internal/job/scheduler/session_test.go
+++ b/internal/job/scheduler/session_test.go
@@ -30,13 +30,13 @@
 	}{{false, 0}, {false, 0}, {true, 1}} {
 		r := messenger.WorkReport{
 			VM: "vm-1", Session: 1, Incarnation: "1", Ready: true, Granted: tt.granted,
-			Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
+			VMInfo: &messenger.WorkVMInfo{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		}
-		parsed, facts, err := parseReport(r)
+		parsed, info, err := parseReport(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := reportReceived{report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+		e := reportReceived{report: r, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 		e.apply(o, now)
 		if a := <-e.answer; a.GrantMillis == 0 {
 			t.Error("a member got no grant")
@@ -66,13 +66,13 @@
 	state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: specifier.Resources{CPUMillis: 600}}}}, time.Time{}, now)
 	report := func(ready bool) int64 {
 		t.Helper()
-		parsed, facts, err := parseReport(messenger.WorkReport{
-			VM: "vm-1", Session: 1, Incarnation: "1", Ready: ready, Granted: true, Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
+		parsed, info, err := parseReport(messenger.WorkReport{
+			VM: "vm-1", Session: 1, Incarnation: "1", Ready: ready, Granted: true, VMInfo: &messenger.WorkVMInfo{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := reportReceived{report: messenger.WorkReport{VM: "vm-1", Session: 1, Granted: true}, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+		e := reportReceived{report: messenger.WorkReport{VM: "vm-1", Session: 1, Granted: true}, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 		e.apply(o, now)
 		o.startWaitingTasks(now)
 		return (<-e.answer).GrantMillis
@@ -128,12 +128,12 @@
 			s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }})
 			o := newOwner(s, 1, accountant.New(accountant.Config{Policy: policy}), now)
 			for i, session := range tt.open {
-				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Incarnation: "1", Ready: true, Facts: &messenger.WorkFacts{}}
-				parsed, facts, err := parseReport(r)
+				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{}}
+				parsed, info, err := parseReport(r)
 				if err != nil {
 					t.Fatal(err)
 				}
-				e := reportReceived{conn: new(connector.Conn), report: r, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+				e := reportReceived{conn: new(connector.Conn), report: r, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 				e.apply(o, now)
 				if got := (<-e.answer).Epoch != 0; got != session.accepted {
 					t.Errorf("session %d is accepted: %t, want %t", i, got, session.accepted)
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -42,8 +42,8 @@
 	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, LongRunning: true}}}, time.Time{}, b.now)
 	b.report = messenger.WorkReport{
 		VM: "vm-1", Session: 1, Process: 1, Incarnation: "1", Ready: true, Granted: true,
-		Facts: &messenger.WorkFacts{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
-		Runs:  []messenger.WorkRun{{Task: stoppedJob + ".0.0.0", Run: 1, Confirmed: true, Progress: 100}},
+		VMInfo: &messenger.WorkVMInfo{Capacity: specifier.Resources{CPUMillis: 1000, MemoryMB: 1000}},
+		Runs:   []messenger.WorkRun{{Task: stoppedJob + ".0.0.0", Run: 1, Confirmed: true, Progress: 100}},
 	}
 	return b
 }
@@ -58,11 +58,11 @@
 // reports whether it was accepted.
 func (b *stopFixture) sendReportOn(c *connector.Conn, connDone chan struct{}) bool {
 	b.t.Helper()
-	parsed, facts, err := parseReport(b.report)
+	parsed, info, err := parseReport(b.report)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	e := reportReceived{conn: c, connDone: connDone, report: b.report, parsed: parsed, facts: facts, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, connDone: connDone, report: b.report, parsed: parsed, info: info, answer: make(chan messenger.WorkReply, 1)}
 	e.apply(b.o, b.now)
 	return (<-e.answer).Epoch != 0
 }
--- a/internal/operator/tallier/tallier.go
+++ b/internal/operator/tallier/tallier.go
@@ -161,8 +161,8 @@
 	j.runs[f["task"]+" "+f["run"]] = at
 }
 
-func (t *Tallier) end(at time.Time, f fields, how string) {
-	t.runEnds[how]++
+func (t *Tallier) end(at time.Time, f fields, outcome string) {
+	t.runEnds[outcome]++
 	id, _, _ := strings.Cut(f["task"], ".")
 	j := t.job(id)
 	run := f["task"] + " " + f["run"]
@@ -170,7 +170,7 @@
 		j.runTime += at.Sub(from)
 		delete(j.runs, run)
 	}
-	if how != "done" {
+	if outcome != "done" {
 		j.unsuccessfulRuns++
 	}
 }
--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -184,9 +184,9 @@
 		e.mu.Lock()
 	}
 	e.advanceLocked()
-	seen := e.statusLocked()
+	status := e.statusLocked()
 	e.mu.Unlock()
-	server.WriteJSON(rw, http.StatusOK, seen)
+	server.WriteJSON(rw, http.StatusOK, status)
 }
 
 func (e *Executor) acknowledgeLocked(seen int64) {
--- a/internal/standin/executor/calls_test.go
+++ b/internal/standin/executor/calls_test.go
@@ -39,13 +39,13 @@
 			t.Cleanup(server.Close)
 			calls := steerer.New(steerer.Config{URL: server.URL}).Calls()
 			time.Sleep(2 * time.Millisecond) // so that the clock of the executor is above 0
-			seen, err := calls.Poll(t.Context(), guardian.PollCall{LeaseUntil: time.Minute})
+			status, err := calls.Poll(t.Context(), guardian.PollCall{LeaseUntil: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
-			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Incarnation: tt.incarnation, Until: seen.Clock + tt.valid}
+			call := guardian.StartCall{Task: specifier.TaskID{Job: "00000000000004d2"}, Run: 1, Payload: `{"run-ms":-1}`, Incarnation: tt.incarnation, Until: status.Clock + tt.valid}
 			if call.Incarnation == "" {
-				call.Incarnation = seen.Incarnation
+				call.Incarnation = status.Incarnation
 			}
 			if tt.delayed {
 				e.SetFaults(Faults{LateMillis: delay.Milliseconds()})
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -240,12 +240,12 @@
 	return keys
 }
 
-func (e *Executor) endLocked(r *run, how accountant.End) {
+func (e *Executor) endLocked(r *run, outcome accountant.End) {
 	e.seq++
 	e.highestEnded[r.task] = max(e.highestEnded[r.task], r.number)
 	delete(e.runs, r.task)
-	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, Outcome: string(how), Checkpoint: r.checkpoint()})
-	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, Outcome: string(how)})
+	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, Outcome: string(outcome), Checkpoint: r.checkpoint()})
+	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, Outcome: string(outcome)})
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
--- a/internal/standin/worker/calls.go
+++ b/internal/standin/worker/calls.go
@@ -153,17 +153,17 @@
 
 // renew sets the leases of all tasks. Calls may arrive out of order: an old call with
 // a longer lease would extend the leases beyond what the caller granted last, so only
-// the call that was issued last is applied.
+// the call with the highest number is applied.
 func (w *Worker) renew(c driver.LeaseCall) (int, any) {
-	if c.Number < w.latestIssued {
-		return http.StatusOK, driver.LeaseAnswer{Issued: w.latestIssued}
+	if c.Number < w.latestRenewal {
+		return http.StatusOK, driver.LeaseAnswer{Number: w.latestRenewal}
 	}
-	w.latestIssued = c.Number
+	w.latestRenewal = c.Number
 	end := w.leaseEnd(c.Until)
 	for _, t := range w.tasks {
 		t.leaseEnd = end
 	}
-	return http.StatusOK, driver.LeaseAnswer{Issued: w.latestIssued}
+	return http.StatusOK, driver.LeaseAnswer{Number: w.latestRenewal}
 }
 
 func (w *Worker) list(struct{}) (int, any) {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -70,7 +70,7 @@
 	mu             sync.Mutex
 	tasks          map[string]*task
 	highestAttempt map[string]int64 // highest attempt started or stopped, by task
-	latestIssued   int64            // when the latest renewal of leases was issued
+	latestRenewal  int64            // number of the latest lease renewal
 	advancedAt     time.Time        // when the progress of tasks was last updated
 	faults         Faults
 	unfrozen       chan struct{} // closed when answers are no longer held
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -18,17 +18,17 @@
 
 // WorkReport contains the full state of the runs of an agent's worker.
 type WorkReport struct {
-	VM          string     `json:"vm"`
-	Session     int64      `json:"session"`         // increases with each session of the agent
-	Process     int64      `json:"process"`         // identifies the agent's process; a new process has no record of earlier orders
-	Facts       *WorkFacts `json:"facts,omitempty"` // in the first report of a session
-	Incarnation string     `json:"life"`            // incarnation of the worker
-	Ready       bool       `json:"ready"`
-	Granted     bool       `json:"granted"` // the agent has a grant; without one it starts nothing
-	OrdersSeen  int64      `json:"orders-seen"`
-	AgeMillis   int64      `json:"age-ms"` // of the reported state of the runs
-	Runs        []WorkRun  `json:"runs,omitempty"`
-	Ends        []WorkEnd  `json:"ends,omitempty"`
+	VM          string      `json:"vm"`
+	Session     int64       `json:"session"`         // increases with each session of the agent
+	Process     int64       `json:"process"`         // identifies the agent's process; a new process has no record of earlier orders
+	VMInfo      *WorkVMInfo `json:"facts,omitempty"` // in the first report of a session
+	Incarnation string      `json:"life"`            // incarnation of the worker
+	Ready       bool        `json:"ready"`
+	Granted     bool        `json:"granted"` // the agent has a grant; without one it starts nothing
+	OrdersSeen  int64       `json:"orders-seen"`
+	AgeMillis   int64       `json:"age-ms"` // of the reported state of the runs
+	Runs        []WorkRun   `json:"runs,omitempty"`
+	Ends        []WorkEnd   `json:"ends,omitempty"`
 	// Unconfirmed starts: they were not answered and no status poll has shown the run yet.
 	// The worker may still carry them out, even in another incarnation.
 	UnconfirmedStarts []WorkUnconfirmedStart `json:"doubts,omitempty"`
@@ -40,8 +40,8 @@
 	Removed  []int64    `json:"gone,omitempty"`    // ids of runs that are no longer listed
 }
 
-// WorkFacts describes a VM.
-type WorkFacts struct {
+// WorkVMInfo is the description of a VM.
+type WorkVMInfo struct {
 	WorkerID string              `json:"worker-id,omitempty"`
 	Zone     string              `json:"zone"`
 	Rack     string              `json:"rack"`
@@ -63,7 +63,7 @@
 	Needs      *specifier.Resources `json:"needs,omitempty"`
 }
 
-// WorkUnconfirmedStart is an unconfirmed start, which may still be carried out.
+// WorkUnconfirmedStart is a start that was not answered and may still be carried out.
 type WorkUnconfirmedStart struct {
 	Task      string `json:"task"`
 	Run       int64  `json:"run"`
--- a/internal/worker/driver/driver.go
+++ b/internal/worker/driver/driver.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("start of task %s arrived too late", e.TaskID)
 }
 
-// IsErrStartExpired reports whether err is, or wraps, an ErrTooLate.
+// IsErrStartExpired reports whether err is, or wraps, an ErrStartExpired.
 func IsErrStartExpired(err error) bool { return asError[ErrStartExpired](err) }
 
 // ErrAttemptEnded is returned for the start of an attempt that has ended or was superseded by
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("attempt %d of task %s has ended or was superseded", e.Attempt, e.TaskID)
 }
 
-// IsErrAttemptEnded reports whether err is, or wraps, an ErrAttemptOver.
+// IsErrAttemptEnded reports whether err is, or wraps, an ErrAttemptEnded.
 func IsErrAttemptEnded(err error) bool { return asError[ErrAttemptEnded](err) }
 
 // ErrTaskNotExist is returned for an attempt that does not run on this VM.
@@ -91,7 +91,7 @@
 type Driver struct {
 	config     Config
 	client     *http.Client
-	lastIssued atomic.Int64 // number of the latest lease renewal, including those of earlier processes
+	lastNumber atomic.Int64 // number of the latest lease renewal, including those of earlier processes
 }
 
 // New returns a client of the worker at c.URL.
@@ -186,25 +186,25 @@
 // RenewLeasesUntil sets the leases of all running tasks to end at a time on the VM's clock,
 // so that a caller paused before the call does not extend them.
 func (d *Driver) RenewLeasesUntil(ctx context.Context, until time.Time) error {
-	c := LeaseCall{Number: d.nextIssued(d.config.Now().UnixNano()), Until: until.UnixNano()}
+	c := LeaseCall{Number: d.nextNumber(d.config.Now().UnixNano()), Until: until.UnixNano()}
 	var a LeaseAnswer
 	if err := d.post(ctx, PathLeases, TaskCall{}, c, &a); err != nil {
 		return err
 	}
-	if a.Issued > c.Number {
+	if a.Number > c.Number {
 		// An earlier process numbered its renewals by a clock that has jumped back since.
 		// This call had no effect; the next ones will.
-		d.nextIssued(a.Issued)
+		d.nextNumber(a.Number)
 	}
 	return nil
 }
 
-// nextIssued returns a number that is at least minimum and greater than all it has returned.
-func (d *Driver) nextIssued(minimum int64) int64 {
+// nextNumber returns a number that is at least minimum and greater than all it has returned.
+func (d *Driver) nextNumber(minimum int64) int64 {
 	for {
-		last := d.lastIssued.Load()
+		last := d.lastNumber.Load()
 		next := max(minimum, last+1)
-		if d.lastIssued.CompareAndSwap(last, next) {
+		if d.lastNumber.CompareAndSwap(last, next) {
 			return next
 		}
 	}
--- a/internal/worker/driver/protocol.go
+++ b/internal/worker/driver/protocol.go
@@ -41,17 +41,17 @@
 	Percent int    `json:"percent,omitempty"` // for a throttle
 }
 
-// LeaseCall renews the leases of all running tasks. The worker ignores a call issued before
-// the latest one it has seen.
+// LeaseCall renews the leases of all running tasks. The worker ignores a call with a lower
+// number than the latest one it has seen.
 type LeaseCall struct {
 	Number int64 `json:"issued-ns"`
 	Until  int64 `json:"until-ns"`
 }
 
-// LeaseAnswer holds when the latest renewal that the worker has seen was issued. If that is
-// later than the call itself, the call was ignored.
+// LeaseAnswer holds the number of the latest renewal that the worker has seen. If it is higher
+// than that of the call itself, the call was ignored.
 type LeaseAnswer struct {
-	Issued int64 `json:"issued-ns,omitempty"`
+	Number int64 `json:"issued-ns,omitempty"`
 }
 
 // EndAnswer holds the checkpoint from which an ended attempt can be resumed.
--- a/internal/worker/guardian/env_test.go
+++ b/internal/worker/guardian/env_test.go
@@ -120,16 +120,16 @@
 	}
 	f.epoch = c.Epoch
 	f.leases = append(f.leases, c.LeaseUntil)
-	l := Status{Incarnation: f.incarnation, Clock: time.Since(f.startedAt)}
+	status := Status{Incarnation: f.incarnation, Clock: time.Since(f.startedAt)}
 	for key := range f.runs {
-		l.Runs = append(l.Runs, ListedRun{Task: key.Task, Run: key.Number})
+		status.Runs = append(status.Runs, ListedRun{Task: key.Task, Run: key.Number})
 	}
 	for _, e := range f.ends {
 		if e.Seq > c.EndsSeen {
-			l.Ends = append(l.Ends, e)
+			status.Ends = append(status.Ends, e)
 		}
 	}
-	return l, nil
+	return status, nil
 }
 
 func (f *fakeWorker) waitFor(c PollCall) time.Duration {
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -61,7 +61,7 @@
 	wake   chan struct{} // signalled when there is something new to report
 
 	mu                sync.Mutex
-	facts             *messenger.WorkFacts
+	vmInfo            *messenger.WorkVMInfo
 	incarnation       string // of the worker; empty until first contact
 	leaving           bool
 	runs              map[accountant.RunKey]*run
@@ -72,12 +72,12 @@
 	session           int64
 	process           int64 // identifies this agent process
 	ordersSeen        int64
-	grantUntil        time.Time            // the owner has granted lease time until then
-	factsAcked        *messenger.WorkFacts // acknowledged in this session by the reply to a report
-	factsSent         *messenger.WorkFacts // in the latest report
-	reportGap         time.Duration        // minimum time between reports that the owner asks for
-	reportedAt        time.Time            // when the last report was made
-	repliedAt         time.Time            // when the last report that got a reply was sent
+	grantUntil        time.Time             // the owner has granted lease time until then
+	vmInfoAcked       *messenger.WorkVMInfo // acknowledged in this session by the reply to a report
+	vmInfoSent        *messenger.WorkVMInfo // in the latest report
+	reportGap         time.Duration         // minimum time between reports that the owner asks for
+	reportedAt        time.Time             // when the last report was made
+	repliedAt         time.Time             // when the last report that got a reply was sent
 	clock             time.Duration
 	clockAt           time.Time          // when clock was received; zero: not yet from this incarnation
 	failedPolls       int                // in a row
@@ -117,14 +117,14 @@
 func (g *Guardian) Announce(a Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	changed := g.incarnation != a.Incarnation || g.leaving != a.Leaving || g.facts == nil
+	changed := g.incarnation != a.Incarnation || g.leaving != a.Leaving || g.vmInfo == nil
 	if g.incarnation != a.Incarnation {
 		g.beginIncarnationLocked(a.Incarnation)
 	}
 	g.leaving = a.Leaving
-	facts := &messenger.WorkFacts{WorkerID: a.ID, Zone: a.Zone, Rack: a.Rack, Service: a.Service, Labels: a.Labels, Capacity: a.Capacity}
-	if g.facts == nil || !reflect.DeepEqual(*facts, *g.facts) {
-		g.facts, changed = facts, true // reported again
+	vmInfo := &messenger.WorkVMInfo{WorkerID: a.ID, Zone: a.Zone, Rack: a.Rack, Service: a.Service, Labels: a.Labels, Capacity: a.Capacity}
+	if g.vmInfo == nil || !reflect.DeepEqual(*vmInfo, *g.vmInfo) {
+		g.vmInfo, changed = vmInfo, true // reported again
 	}
 	if changed {
 		g.config.Reporter.Report(reporter.WorkerAnnounced, reporter.Fields{"life": a.Incarnation, "leaving": a.Leaving, "cpu": a.Capacity.CPUMillis, "memory-mb": a.Capacity.MemoryMB})
@@ -186,7 +186,7 @@
 func (g *Guardian) Report(session int64) (messenger.WorkReport, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.facts == nil || g.clockAt.IsZero() || !g.runsCompleteLocked() {
+	if g.vmInfo == nil || g.clockAt.IsZero() || !g.runsCompleteLocked() {
 		return messenger.WorkReport{}, false
 	}
 	g.reportedAt = g.config.Now()
@@ -195,10 +195,10 @@
 		AgeMillis: g.config.Now().Sub(g.clockAt).Milliseconds(),
 		Ready:     !g.leaving && g.unresponsiveSince.IsZero(), Granted: g.grantUntil.After(g.config.Now()),
 	}
-	if g.factsAcked != g.facts {
-		rep.Facts = g.facts
+	if g.vmInfoAcked != g.vmInfo {
+		rep.VMInfo = g.vmInfo
 	}
-	g.factsSent = g.facts
+	g.vmInfoSent = g.vmInfo
 	for key, r := range g.runs {
 		w := messenger.WorkRun{Task: key.Task.String(), Run: key.Number, Confirmed: r.confirmed, Stopping: r.state == stopping, Checkpoint: r.checkpoint, Progress: r.progress, Measure: r.measure}
 		if r.needsKnown && !r.confirmed {
@@ -234,7 +234,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.session++
-	g.ordersSeen, g.factsAcked, g.factsSent = 0, nil, nil
+	g.ordersSeen, g.vmInfoAcked, g.vmInfoSent = 0, nil, nil
 	return g.session
 }
 
@@ -254,7 +254,7 @@
 		return false
 	}
 	g.followLocked(reply.Epoch)
-	g.repliedAt, g.factsAcked = sentAt, g.factsSent
+	g.repliedAt, g.vmInfoAcked = sentAt, g.vmInfoSent
 	g.reportGap = time.Duration(reply.GapMillis) * time.Millisecond
 	if until := sentAt.Add(time.Duration(reply.GrantMillis) * time.Millisecond); until.After(g.grantUntil) {
 		if !g.grantUntil.After(g.config.Now()) {
@@ -269,8 +269,8 @@
 	for _, n := range reply.Needs {
 		g.setNeedsLocked(n)
 	}
-	for _, d := range reply.UnconfirmedStarts {
-		g.adoptUnconfirmedStartLocked(d)
+	for _, s := range reply.UnconfirmedStarts {
+		g.adoptUnconfirmedStartLocked(s)
 	}
 	g.fenceUnconfirmedStartsLocked()
 	return true
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -126,7 +126,7 @@
 		return "no recent reply from the owner"
 	case g.leaseLocked(g.config.Now()) <= 0:
 		return "no grant"
-	case g.facts == nil || !g.facts.Capacity.Fits(g.committedLocked().Add(o.Needs)):
+	case g.vmInfo == nil || !g.vmInfo.Capacity.Fits(g.committedLocked().Add(o.Needs)):
 		return "not enough free capacity"
 	}
 	return ""
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -51,7 +51,7 @@
 	g.mu.Lock()
 	g.cancelPoll = cancelPoll
 	g.mu.Unlock()
-	seen, err := g.config.Worker.Poll(pollCtx, call)
+	status, err := g.config.Worker.Poll(pollCtx, call)
 	if err != nil {
 		if pollCtx.Err() != nil && timeoutCtx.Err() == nil {
 			return // cancelled because of a new epoch or grant
@@ -60,14 +60,14 @@
 		_ = pauser.Pause(ctx, pollRetryPause)
 		return
 	}
-	if !g.applyPoll(seen, call, from) && call.Wait > 0 && g.config.Now().Sub(from.sentAt) < pollMinInterval {
+	if !g.applyPoll(status, call, from) && call.Wait > 0 && g.config.Now().Sub(from.sentAt) < pollMinInterval {
 		_ = pauser.Pause(ctx, pollMinInterval)
 	}
 }
 
 // applyPoll applies the answer to a poll and reports whether it has news other than
 // measurements.
-func (g *Guardian) applyPoll(seen Status, call PollCall, from pollStart) bool {
+func (g *Guardian) applyPoll(status Status, call PollCall, from pollStart) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failedPolls, g.absentPolls = 0, 0
@@ -76,8 +76,8 @@
 		g.unresponsiveSince = time.Time{}
 		g.signal()
 	}
-	if g.incarnation != seen.Incarnation {
-		g.beginIncarnationLocked(seen.Incarnation)
+	if g.incarnation != status.Incarnation {
+		g.beginIncarnationLocked(status.Incarnation)
 	}
 	if g.clockAt.IsZero() {
 		g.signal()
@@ -86,11 +86,11 @@
 		g.polledEpoch = call.Epoch
 		g.signal()
 	}
-	g.clock, g.clockAt, g.lastPollSentAt = seen.Clock, g.config.Now(), from.sentAt
-	if from.incarnation != seen.Incarnation {
+	g.clock, g.clockAt, g.lastPollSentAt = status.Clock, g.config.Now(), from.sentAt
+	if from.incarnation != status.Incarnation {
 		from.clock = 0
 	}
-	return g.applyRunsAndEndsLocked(seen, from)
+	return g.applyRunsAndEndsLocked(status, from)
 }
 
 // pollStart is the state known when a poll was sent.
@@ -196,9 +196,9 @@
 
 // applyRunsAndEndsLocked applies the runs and ends of a poll and reports whether they contain
 // news other than measurements.
-func (g *Guardian) applyRunsAndEndsLocked(seen Status, from pollStart) (news bool) {
-	listed := make(map[accountant.RunKey]bool, len(seen.Runs))
-	for _, s := range seen.Runs {
+func (g *Guardian) applyRunsAndEndsLocked(status Status, from pollStart) (news bool) {
+	listed := make(map[accountant.RunKey]bool, len(status.Runs))
+	for _, s := range status.Runs {
 		key := accountant.RunKey{Task: s.Task, Number: s.Run}
 		listed[key] = true
 		r := g.runs[key]
@@ -219,9 +219,9 @@
 		}
 		r.checkpoint, r.progress, r.measure = s.Checkpoint, s.Progress, s.Measure
 	}
-	news = g.addEndsLocked(seen.Ends) || news
-	news = g.dropLostRunsLocked(listed, seen.Clock, from) || news
-	if news || len(seen.Runs) > 0 && g.config.Now().Sub(g.reportedAt) >= max(metricsMaxAge, metricsMaxAgeGaps*g.reportGap) {
+	news = g.addEndsLocked(status.Ends) || news
+	news = g.dropLostRunsLocked(listed, status.Clock, from) || news
+	if news || len(status.Runs) > 0 && g.config.Now().Sub(g.reportedAt) >= max(metricsMaxAge, metricsMaxAgeGaps*g.reportGap) {
 		g.signal()
 	}
 	return news
--- a/internal/worker/guardian/stale_state_test.go
+++ b/internal/worker/guardian/stale_state_test.go
@@ -63,16 +63,16 @@
 	}
 }
 
-// Guards against an owner that asks for advice, and plans, with the facts of the worker's
+// Guards against an owner that asks for advice, and plans, with the VM information of the worker's
 // previous incarnation: after a reboot the worker has another ID and may be of another kind.
-func TestFactsOfNewIncarnationAreReportedInSameSession(t *testing.T) {
+func TestVMInfoOfNewIncarnationIsReportedInSameSession(t *testing.T) {
 	worker := newFakeWorker()
 	e := newTestEnv(t, worker)
 	e.own(1)
 	worker.withLock(func() { worker.incarnation = "incarnation-2" })
 	e.g.Announce(Announcement{ID: "id-2", Incarnation: "incarnation-2", Zone: "z", Capacity: specifier.Resources{CPUMillis: 4000, MemoryMB: 1000}})
 	e.until("report of the new incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
-	if f := e.report().Facts; f == nil || f.WorkerID != "id-2" || f.Capacity.CPUMillis != 4000 {
+	if f := e.report().VMInfo; f == nil || f.WorkerID != "id-2" || f.Capacity.CPUMillis != 4000 {
 		t.Errorf("reported %+v", f)
 	}
 }
--- a/internal/worker/guardian/start_expiry_test.go
+++ b/internal/worker/guardian/start_expiry_test.go
@@ -33,9 +33,9 @@
 				w.Start = func(ctx context.Context, _ StartCall) error { return noAnswer(ctx) }
 				w.Stop = func(ctx context.Context, _ StopCall) error { return noAnswer(ctx) }
 				w.Poll = func(ctx context.Context, c PollCall) (Status, error) {
-					l, err := worker.poll(ctx, c)
-					l.Clock = tt.clock(time.Since(begin))
-					return l, err
+					status, err := worker.poll(ctx, c)
+					status.Clock = tt.clock(time.Since(begin))
+					return status, err
 				}
 			})
 			e.own(1)
@@ -94,11 +94,11 @@
 				}
 				w.Stop = func(ctx context.Context, _ StopCall) error { return noAnswer(ctx) }
 				w.Poll = func(ctx context.Context, c PollCall) (Status, error) {
-					l, err := worker.poll(ctx, c)
-					if l.Incarnation == "incarnation-2" {
-						l.Clock += time.Hour // unrelated to an expiry on the clock of incarnation-1
+					status, err := worker.poll(ctx, c)
+					if status.Incarnation == "incarnation-2" {
+						status.Clock += time.Hour // unrelated to an expiry on the clock of incarnation-1
 					}
-					return l, err
+					return status, err
 				}
 			})
 			e.own(1)
--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/steerer/protocol.go
@@ -14,7 +14,7 @@
 	PathStart = "/v1/start" // Start
 	PathStop  = "/v1/stop"  // Stop
 	PathPace  = "/v1/pace"  // Pace
-	PathPoll  = "/v1/look"  // Look, Seen
+	PathPoll  = "/v1/look"  // PollRequest, PollResponse
 )
 
 // HeaderIncarnation carries the incarnation of the executor that a call is meant for. Any other
@@ -64,7 +64,7 @@
 	WaitMillis  int64 `json:"wait-ms,omitempty"`
 }
 
-// PollResponse is the answer to a Look.
+// PollResponse is the answer to a PollRequest.
 type PollResponse struct {
 	Incarnation string `json:"life"`
 	ClockMillis int64  `json:"clock-ms"`
--- a/internal/worker/steerer/steerer.go
+++ b/internal/worker/steerer/steerer.go
@@ -143,20 +143,20 @@
 	if err := s.call(ctx, http.MethodPost, PathPoll, s.lastIncarnation(), PollRequest{Epoch: c.Epoch, EndsSeen: c.EndsSeen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
 		return guardian.Status{}, err
 	}
-	l := guardian.Status{Incarnation: a.Incarnation, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
+	status := guardian.Status{Incarnation: a.Incarnation, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
 	for _, r := range a.Runs {
 		id, err := specifier.ParseTaskID(r.Task)
 		if err != nil {
-			return l, err
+			return status, err
 		}
-		l.Runs = append(l.Runs, guardian.ListedRun{Task: id, Run: r.Run, Checkpoint: r.Checkpoint, Progress: r.Progress, Measure: r.Measure})
+		status.Runs = append(status.Runs, guardian.ListedRun{Task: id, Run: r.Run, Checkpoint: r.Checkpoint, Progress: r.Progress, Measure: r.Measure})
 	}
 	for _, e := range a.Ends {
 		id, err := specifier.ParseTaskID(e.Task)
 		if err != nil {
-			return l, err
+			return status, err
 		}
-		l.Ends = append(l.Ends, guardian.ListedEnd{Seq: e.Seq, Task: id, Run: e.Run, Outcome: e.Outcome, Checkpoint: e.Checkpoint})
+		status.Ends = append(status.Ends, guardian.ListedEnd{Seq: e.Seq, Task: id, Run: e.Run, Outcome: e.Outcome, Checkpoint: e.Checkpoint})
 	}
-	return l, nil
+	return status, nil
 }
--- a/tests/integration/job_testbed_test.go
+++ b/tests/integration/job_testbed_test.go
@@ -136,7 +136,7 @@
 	vm, incarnation string
 	run             int64
 	from, to        time.Time // to is zero while the run has not ended
-	how             string
+	outcome         string
 	acknowledged    bool // its end was acknowledged
 	expired         bool // leases expired between its end and the acknowledgement
 }
@@ -158,7 +158,7 @@
 			all[e.Task] = append(all[e.Task], &span{vm: e.VM, incarnation: e.Incarnation, run: e.Run, from: e.At})
 		case "end":
 			if s := find(e); s != nil {
-				s.to, s.how = e.At, e.Outcome
+				s.to, s.outcome = e.At, e.Outcome
 			}
 		case "acknowledged":
 			if s := find(e); s != nil {
@@ -187,7 +187,7 @@
 				if a.to.IsZero() || b.from.Before(a.to) {
 					r.t.Errorf("%s: run %d on %s from %s to %s, run %d on %s from %s", task, a.run, a.vm, formatTime(a.from), formatTime(a.to), b.run, b.vm, formatTime(b.from))
 				}
-				if a.how == "done" && a.acknowledged && !a.expired {
+				if a.outcome == "done" && a.acknowledged && !a.expired {
 					r.t.Errorf("%s: run %d on %s was done at %s and acknowledged; run %d began on %s at %s", task, a.run, a.vm, formatTime(a.to), b.run, b.vm, formatTime(b.from))
 				}
 				if b.run <= a.run {
@@ -235,7 +235,7 @@
 // doneAt returns when a task was first done.
 func doneAt(runs []*span) time.Time {
 	for _, s := range runs {
-		if s.how == "done" {
+		if s.outcome == "done" {
 			return s.to
 		}
 	}
--- a/tests/soak/history_checks_test.go
+++ b/tests/soak/history_checks_test.go
@@ -15,8 +15,8 @@
 	const job = "00000000000004d2"
 	start := time.Now().Add(-time.Minute)
 	second := func(n float64) time.Time { return start.Add(time.Duration(n * float64(time.Second))) }
-	event := func(at float64, vm, kind, task string, run int64, how string) executor.Event {
-		return executor.Event{At: second(at), VM: vm, Incarnation: "1", Kind: kind, Task: job + "." + task, Run: run, Outcome: how}
+	event := func(at float64, vm, kind, task string, run int64, outcome string) executor.Event {
+		return executor.Event{At: second(at), VM: vm, Incarnation: "1", Kind: kind, Task: job + "." + task, Run: run, Outcome: outcome}
 	}
 	needs := specifier.Resources{CPUMillis: vmMillis, MemoryMB: 100}
 	spec := &specifier.Job{ID: job, Steps: []specifier.Step{{Count: 1, Needs: needs}, {Count: 1, Needs: needs, After: []int{0}}}}
--- a/tests/soak/history_test.go
+++ b/tests/soak/history_test.go
@@ -34,13 +34,13 @@
 	run             int64
 	from, to        time.Time // to is zero while the run has not ended
 	workedUntil     time.Time // when it may last have made progress; before to if its executor was frozen
-	how             string
+	outcome         string
 	acknowledged    time.Time // when its end was acknowledged
 	expired         bool      // the leases expired or the executor ended before that
 }
 
 func (s *span) String() string {
-	return fmt.Sprintf("run %d of %s on %s from %s to %s (%s)", s.run, s.task, s.vm, formatTime(s.from), formatTime(s.to), s.how)
+	return fmt.Sprintf("run %d of %s on %s from %s to %s (%s)", s.run, s.task, s.vm, formatTime(s.from), formatTime(s.to), s.outcome)
 }
 
 // runsAfter reports whether the run had not ended by t.
@@ -74,7 +74,7 @@
 				other.expired = other.expired || other.vm == e.VM && other.incarnation == e.Incarnation && other.acknowledged.IsZero()
 			}
 		case s != nil && e.Kind == "end":
-			s.to, s.how = e.At, e.Outcome
+			s.to, s.outcome = e.At, e.Outcome
 		case s != nil && e.Kind == "acknowledged":
 			s.acknowledged = e.At
 		}
@@ -89,12 +89,12 @@
 func (s *span) finish(endTimes []time.Time, frozen []window) {
 	for _, d := range endTimes {
 		if d.After(s.from) && s.to.IsZero() {
-			s.to, s.how = d, "killed"
+			s.to, s.outcome = d, "killed"
 		}
 	}
 	s.workedUntil = s.to
 	for _, f := range frozen {
-		if s.how == "lapsed" && f.from.After(s.from) && !f.to.IsZero() && s.to.After(f.from) && s.to.Before(f.to.Add(unfreezeBound)) && f.from.Before(s.workedUntil) {
+		if s.outcome == "lapsed" && f.from.After(s.from) && !f.to.IsZero() && s.to.After(f.from) && s.to.Before(f.to.Add(unfreezeBound)) && f.from.Before(s.workedUntil) {
 			s.workedUntil = f.from
 		}
 	}
@@ -153,7 +153,7 @@
 			case j.spec.Steps[a.id.Step].Copies:
 			case a.to.IsZero() || b.from.Before(a.workedUntil):
 				found = append(found, fmt.Sprintf("twice: %s and %s", a, b))
-			case a.how == stateDone && !a.acknowledged.IsZero() && !a.expired:
+			case a.outcome == stateDone && !a.acknowledged.IsZero() && !a.expired:
 				found = append(found, fmt.Sprintf("twice: end acknowledged at %s of %s and later %s", formatTime(a.acknowledged), a, b))
 			case !j.done.IsZero() && b.from.After(j.done.Add(lateStartBound)):
 				found = append(found, fmt.Sprintf("twice: job shown as done at %s and later %s", formatTime(j.done), b))
@@ -180,7 +180,7 @@
 // doneAt returns when a task was first done.
 func (h *history) doneAt(id specifier.TaskID) (at time.Time) {
 	for _, s := range h.tasks[id.String()] {
-		if s.how == stateDone && (at.IsZero() || s.to.Before(at)) {
+		if s.outcome == stateDone && (at.IsZero() || s.to.Before(at)) {
 			at = s.to
 		}
 	}
