--- a/internal/job/planner/explain.go
+++ b/internal/job/planner/explain.go
@@ -61,11 +61,11 @@
 	m := newVMState(vm, in.Now)
 	switch {
 	case !m.free.Fits(s.Spec.Committed()):
-		return "without room"
+		return "without free capacity"
 	case !m.admits(s, runsPerVM(s)[vm]):
 		return "at the limit for tasks of the step or for best-effort tasks"
 	case s.Spec.BestEffort && r.interference(m, s).leastHeadroom < minHeadroom:
 		return "where it would interfere with long-running tasks"
 	}
-	return "with room"
+	return "with free capacity"
 }
--- a/internal/job/planner/planner_test.go
+++ b/internal/job/planner/planner_test.go
@@ -257,7 +257,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "jobs") {
 			b.job("q", specifier.Step{
 				Count: rapid.IntRange(1, 8).Draw(t, "count"), Needs: cores(rapid.Int64Range(1, 6).Draw(t, "needs")),
-				Gang: rapid.Bool().Draw(t, "gang"), BestEffort: rapid.Bool().Draw(t, "fills"), LongRunning: rapid.Bool().Draw(t, "lasting"),
+				Gang: rapid.Bool().Draw(t, "gang"), BestEffort: rapid.Bool().Draw(t, "best effort"), LongRunning: rapid.Bool().Draw(t, "long running"),
 				MaxPerVM: rapid.IntRange(0, 3).Draw(t, "max"), SameRack: rapid.Bool().Draw(t, "rack"),
 			})
 		}
--- a/internal/job/planner/reservation_test.go
+++ b/internal/job/planner/reservation_test.go
@@ -81,7 +81,7 @@
 }
 
 func (r *overload) stop(run *accountant.Run) {
-	r.state.Stop(run, "makes room for a task", r.now)
+	r.state.Stop(run, "frees capacity for a task", r.now)
 	r.ends[run] = r.now.Add(stopTime)
 }
 
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -239,7 +239,7 @@
 			o.s.config.Reporter.Report(reporter.VMDetached, reporter.Fields{"vm": vm.Name, "quiet": sinceContact.String(), "runs": len(vm.Runs)})
 		}
 		if !vm.Attached && len(vm.Runs) > 0 && sinceContact > o.leaseExpiry() {
-			o.reportLost(vm, o.state.DropRuns(vm, now), "leases ran out")
+			o.reportLost(vm, o.state.DropRuns(vm, now), "leases expired")
 		}
 	}
 }
@@ -296,7 +296,7 @@
 // checkHealth stops stalled runs and logs new quarantines of VMs.
 func (o *owner) checkHealth(now time.Time) {
 	for _, r := range o.state.Stalled(now) {
-		o.orderStop(r, "stands still")
+		o.orderStop(r, "stalled")
 	}
 	for _, vm := range o.state.VMs {
 		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantinedUntil {
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -31,9 +31,9 @@
 func (o *owner) move(now time.Time) {
 	for _, m := range planner.Moves(o.input(now)) {
 		o.s.config.Reporter.Report(reporter.JobMoveDecided, reporter.Fields{"task": m.Run.Key().Task.String(), "run": m.Run.Number, "vm": m.Run.VM.Name, "to": m.To.Name, "opens-cpu": int64(m.Gain)})
-		cause := "moves for filling tasks"
+		cause := "moves for best-effort tasks"
 		if m.For != nil {
-			cause = "moves for a lasting task"
+			cause = "moves for a long-running task"
 		}
 		if o.orderStop(m.Run, cause) {
 			o.state.SetRelocation(m.Run.Task, m.Relocation(now), now)
@@ -56,7 +56,7 @@
 // in their place.
 func (o *owner) rotate(now time.Time) {
 	for _, t := range planner.Rotations(o.input(now)) {
-		if o.orderStop(t.Run, "takes turns with a lasting task") {
+		if o.orderStop(t.Run, "rotates with a long-running task") {
 			t.Run.Task.Yielded = true
 			o.state.SetRelocation(t.Task, t.Relocation(now), now)
 		}
@@ -66,13 +66,13 @@
 // evict stops starved best-effort tasks that can continue elsewhere.
 func (o *owner) evict(now time.Time) {
 	for _, r := range planner.Evictions(o.input(now)) {
-		o.orderStop(r, "can go on elsewhere")
+		o.orderStop(r, "can continue elsewhere")
 	}
 }
 
 // preempt stops best-effort tasks that hold memory that long-running ones wait for.
 func (o *owner) preempt(now time.Time) {
 	for _, r := range planner.Preemptions(o.input(now)) {
-		o.orderStop(r, "makes room for a lasting task")
+		o.orderStop(r, "frees capacity for a long-running task")
 	}
 }
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -118,7 +118,7 @@
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
 		o.sessions[vm.Name] = s
 		for _, r := range vm.UnconfirmedRuns() {
-			o.orderStop(r, "its start may still be on its way")
+			o.orderStop(r, "unconfirmed start")
 		}
 		reply.Needs, reply.UnconfirmedStarts = runNeeds(vm), unconfirmedStarts(vm, now)
 		o.dirty = true
@@ -228,7 +228,7 @@
 		o.s.config.Metrics.runEnded(e.Outcome)
 		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.Outcome), "end": e.Seq})
 	}
-	o.reportLost(vm, c.Lost, "not at the worker any more")
+	o.reportLost(vm, c.Lost, "no longer reported by the worker")
 	for _, r := range c.Adopted {
 		o.s.config.Reporter.Report(reporter.JobRunAdopted, reporter.Fields{"task": r.Key().Task.String(), "run": r.Number, "vm": vm.Name})
 	}
--- a/internal/operator/tallier/tallier_test.go
+++ b/internal/operator/tallier/tallier_test.go
@@ -11,8 +11,8 @@
 const sample = `
   0.1 entry-1 timestamp=2026-04-01T02:00:00Z level=info message="job accepted" event=900 job=00000000000004d2 queue=q
   0.2 entry-1 timestamp=2026-04-01T02:00:01Z level=info message="start decided" event=907 task=00000000000004d2.0.0.0 run=1 vm=a waited=1s
-  timestamp=2026-04-01T02:00:02Z level=info message="step waits" event=931 job=00000000000004d2 step=0 cause="2 VMs without room"
-timestamp=2026-04-01T02:00:03Z level=info message="stop decided" event=908 task=00000000000004d2.0.0.0 run=1 cause="can go on elsewhere"
+  timestamp=2026-04-01T02:00:02Z level=info message="step waits" event=931 job=00000000000004d2 step=0 cause="2 VMs without free capacity"
+timestamp=2026-04-01T02:00:03Z level=info message="stop decided" event=908 task=00000000000004d2.0.0.0 run=1 cause="can continue elsewhere"
 timestamp=2026-04-01T02:00:03Z level=info message="end of run noted" event=910 task=00000000000004d2.0.0.0 run=1 how=stopped
 timestamp=2026-04-01T02:00:04Z level=warn message="ownership lost" event=916 name=entry-1
 timestamp=2026-04-01T02:00:06Z level=info message="ownership taken" event=915 name=entry-2
@@ -36,8 +36,8 @@
 			WaitTime:   4 * time.Second, RunTime: 3 * time.Second, UnsuccessfulRuns: 1,
 		}},
 		RunEnds:         []Count{{"done", 1}, {"stopped", 1}},
-		StopCauses:      []Count{{"can go on elsewhere", 1}},
-		WaitCauses:      []Count{{"2 VMs without room", 1}},
+		StopCauses:      []Count{{"can continue elsewhere", 1}},
+		WaitCauses:      []Count{{"2 VMs without free capacity", 1}},
 		RefusalReasons:  []Count{{"store not reached", 1}},
 		Ownerless:       2 * time.Second,
 		UnreadableLines: 2,
@@ -46,7 +46,7 @@
 		t.Error(diff)
 	}
 	var out strings.Builder
-	if err := tallier.Tally().Write(&out); err != nil || !strings.Contains(out.String(), "2 VMs without room") {
+	if err := tallier.Tally().Write(&out); err != nil || !strings.Contains(out.String(), "2 VMs without free capacity") {
 		t.Errorf("%v: %s", err, out.String())
 	}
 }
--- a/internal/worker/driver/driver.go
+++ b/internal/worker/driver/driver.go
@@ -24,7 +24,7 @@
 type ErrStartExpired struct{ TaskID string }
 
 func (e ErrStartExpired) Error() string {
-	return fmt.Sprintf("start of task %s arrived too late", e.TaskID)
+	return fmt.Sprintf("start of task %s expired before it arrived", e.TaskID)
 }
 
 // IsErrStartExpired reports whether err is, or wraps, an ErrStartExpired.
