--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -11,7 +11,7 @@
 // Limits of yields. They cover a load under which long-running tasks have reserved nearly all
 // processors before urgent tasks arrive: urgent tasks that take a second queue up behind
 // others that run for a minute, and the queue grows until the traffic ends. One long-running
-// task makes room for a dozen of them in sequence, and its users keep the other tasks of its
+// task frees capacity for a dozen of them in sequence, and its users keep the other tasks of its
 // job.
 const (
 	// yieldAfter is how long an urgent task waits for capacity before a long-running one
@@ -28,7 +28,7 @@
 	maxYields = 3
 )
 
-// Yields returns the long-running runs to stop to make room for urgent tasks, and whether any
+// Yields returns the long-running runs to stop to free capacity for urgent tasks, and whether any
 // urgent task has waited too long for capacity.
 func Yields(in Input) (runs []*accountant.Run, underPressure bool) {
 	r := newRound(in)
@@ -39,15 +39,15 @@
 	}
 	reservedCPU, unavailable := int64(0), int64(0)
 	for _, s := range in.State.OpenSteps() {
-		if !s.Spec.Lasting {
+		if !s.Spec.LongRunning {
 			continue
 		}
 		reservedCPU += int64(len(s.Tasks)) * s.Spec.Needs.CPUMillis
 		for _, t := range s.Tasks {
-			if t.Ran && t.Away() {
+			if t.HasRun && t.Unavailable() {
 				unavailable += s.Spec.Needs.CPUMillis
 			}
-			if r := t.Lead(); r != nil && r.State == accountant.Stopping {
+			if r := t.PrimaryRun(); r != nil && r.State == accountant.Stopping {
 				need -= s.Spec.Needs.CPUMillis // is being stopped
 			}
 		}
@@ -70,7 +70,7 @@
 func (r *round) urgentDemand() int64 {
 	need := int64(0)
 	for _, s := range r.in.State.WaitingSteps(r.now) {
-		if s.Spec.Fills || s.Spec.Lasting || s.Spec.Gang || s.Occurrence.Job.Queue.Priority > 0 || rank(r.in, s).urgency == tooLate {
+		if s.Spec.BestEffort || s.Spec.LongRunning || s.Spec.Gang || s.Occurrence.Job.Queue.Priority > 0 || rank(r.in, s).urgency == tooLate {
 			continue
 		}
 		count := runsPerVM(s)
@@ -105,11 +105,11 @@
 	for _, m := range r.vmStates {
 		for _, run := range longRunningRuns(m.vm) {
 			s := run.Step()
-			if s.Spec.MaxAway > 0 || len(s.Tasks) == 1 || !r.mayMove(run) {
+			if s.Spec.MaxUnavailable > 0 || len(s.Tasks) == 1 || !r.mayMove(run) {
 				continue
 			}
 			if _, known := unavailable[s]; !known {
-				count := float64(s.Away())
+				count := float64(s.Unavailable())
 				unavailable[s] = count / float64(len(s.Tasks))
 				work[s] = (float64(len(s.Tasks)) - count) * float64(s.Spec.Needs.CPUMillis)
 			}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -73,7 +73,7 @@
 
 	state               *accountant.Accountant
 	learner             *learner.Learner
-	memory              *planner.Memory
+	cache               *planner.Cache
 	sessions            map[string]*session  // by VM
 	cancelled           map[string]bool      // stored cancellations, also of jobs that are not known yet
 	members             map[string]bool      // VMs that are stored as members and may be granted leases
@@ -104,7 +104,7 @@
 
 func newOwner(s *Scheduler, epoch int64, state *accountant.Accountant, now time.Time) *owner {
 	return &owner{
-		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, memory: planner.NewMemory(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
+		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, cache: planner.NewCache(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
 		restorers: make(map[*connector.Conn]*abridger.Restorer),
 		sessions:  make(map[string]*session), cancelled: make(map[string]bool), members: make(map[string]bool), listed: make(map[string]bool),
 		joining: make(map[string]bool), leaving: make(map[string]bool), unreported: make(map[string]bool), reportedQuarantines: make(map[string]time.Time), waitReportedAt: make(map[string]time.Time), dirty: true, removeEndedAt: now.Add(removeEndedInterval),
@@ -136,7 +136,7 @@
 		close(o.done)
 		<-followed
 		o.closeSessions()
-		o.s.config.Meters.stopsOverdue(0)
+		o.s.config.Metrics.stopsOverdue(0)
 	}()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -206,7 +206,7 @@
 	o.stopUnneeded()
 	o.reportOverdueStops(now)
 	o.checkHealth(now)
-	o.askAdvice(ctx, now)
+	o.requestAdvice(ctx, now)
 	o.adjustPaces(now)
 	o.rearrange(now)
 	o.reportWaits(now)
@@ -239,7 +239,7 @@
 			o.s.config.Reporter.Report(reporter.VMDetached, reporter.Fields{"vm": vm.Name, "quiet": sinceContact.String(), "runs": len(vm.Runs)})
 		}
 		if !vm.Attached && len(vm.Runs) > 0 && sinceContact > o.leaseExpiry() {
-			o.reportLost(vm, o.state.Lose(vm, now), "leases ran out")
+			o.reportLost(vm, o.state.DropRuns(vm, now), "leases expired")
 		}
 	}
 }
@@ -265,7 +265,7 @@
 	if o.reconciled {
 		return
 	}
-	if waiting := o.state.Settle(len(o.unreported) == 0, now); waiting > 0 || now.Sub(o.started) < o.s.config.Lease && len(o.unreported) > 0 {
+	if waiting := o.state.Reconcile(len(o.unreported) == 0, now); waiting > 0 || now.Sub(o.started) < o.s.config.Lease && len(o.unreported) > 0 {
 		return
 	}
 	o.reconciled = true
@@ -284,10 +284,10 @@
 
 func (o *owner) reportOverdueStops(now time.Time) {
 	overdue := o.state.OverdueStops(stopOverdueAfter, now)
-	o.s.config.Meters.stopsOverdue(len(overdue))
+	o.s.config.Metrics.stopsOverdue(len(overdue))
 	for _, r := range overdue {
-		if !r.StopTold {
-			r.StopTold = true
+		if !r.OverdueReported {
+			r.OverdueReported = true
 			o.s.config.Reporter.Report(reporter.JobStopOverdue, reporter.Fields{"task": r.Key().Task.String(), "run": r.Number, "vm": r.VM.Name, "state": r.State.String(), "cause": r.StopCause, "since": now.Sub(r.StoppedAt).String(), "attached": r.VM.Attached})
 		}
 	}
@@ -296,19 +296,19 @@
 // checkHealth stops stalled runs and logs new quarantines of VMs.
 func (o *owner) checkHealth(now time.Time) {
 	for _, r := range o.state.Stalled(now) {
-		o.orderStop(r, "stands still")
+		o.orderStop(r, "stalled")
 	}
 	for _, vm := range o.state.VMs {
-		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantineTo {
-			o.reportedQuarantines[vm.Name] = vm.Health.QuarantineTo
-			o.s.config.Reporter.Report(reporter.JobVMQuarantined, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantineTo.Sub(now).String()})
+		if vm.Quarantined(now) && o.reportedQuarantines[vm.Name] != vm.Health.QuarantinedUntil {
+			o.reportedQuarantines[vm.Name] = vm.Health.QuarantinedUntil
+			o.s.config.Reporter.Report(reporter.JobVMQuarantined, reporter.Fields{"vm": vm.Name, "failed": len(vm.Health.Failed), "cause": vm.Health.Cause, "for": vm.Health.QuarantinedUntil.Sub(now).String()})
 		}
 	}
 }
 
 // input returns the input to a round of decisions.
 func (o *owner) input(now time.Time) planner.Input {
-	return planner.Input{Now: now, State: o.state, Learner: o.learner, PressedAt: o.urgentDelayedAt, Memory: o.memory}
+	return planner.Input{Now: now, State: o.state, Learner: o.learner, UrgentDelayedAt: o.urgentDelayedAt, Cache: o.cache}
 }
 
 func (o *owner) startWaitingTasks(now time.Time) {
@@ -342,7 +342,7 @@
 // reportEndedJobs logs and counts the jobs that have ended.
 func (o *owner) reportEndedJobs(now time.Time) {
 	for _, j := range o.state.TakeEnded() {
-		o.s.config.Meters.jobEnded(j, now)
+		o.s.config.Metrics.jobEnded(j, now)
 		o.s.config.Reporter.Report(reporter.JobEnded, reporter.Fields{"job": j.Spec.ID, "state": string(j.State), "queue": j.Spec.Queue, "turnaround": now.Sub(j.Spec.Due(0)).String()})
 	}
 }
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -47,7 +47,7 @@
 	conn     *connector.Conn
 	connDone <-chan struct{} // closed with the connection
 	report   messenger.WorkReport
-	facts    accountant.Facts
+	info     accountant.VMInfo
 	parsed   accountant.Report
 	answer   chan messenger.WorkReply
 }
@@ -59,12 +59,12 @@
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	parsed, facts, err := parseReport(r)
+	parsed, info, err := parseReport(r)
 	if err != nil {
 		o.s.config.Reporter.Report(reporter.MessageMalformed, reporter.Fields{"vm": r.VM, "error": err.Error()})
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeBadRequest, "report of %s: %v", r.VM, err)
 	}
-	e := reportReceived{conn: c, connDone: ctx.Done(), report: r, facts: facts, parsed: parsed, answer: make(chan messenger.WorkReply, 1)}
+	e := reportReceived{conn: c, connDone: ctx.Done(), report: r, info: info, parsed: parsed, answer: make(chan messenger.WorkReply, 1)}
 	if err := o.send(ctx, e); err != nil {
 		return messenger.WorkReply{}, connector.Errorf(messenger.CodeNotOwner, "%v", err)
 	}
@@ -113,21 +113,21 @@
 	var changes accountant.Changes
 	if s == nil || s.conn != e.conn {
 		var vm *accountant.VM
-		vm, changes = o.state.Attach(e.facts, e.parsed, now)
+		vm, changes = o.state.Attach(e.info, e.parsed, now)
 		s = s.next(vm, e)
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
 		o.sessions[vm.Name] = s
-		for _, r := range vm.UncertainRuns() {
-			o.orderStop(r, "its start may still be on its way")
+		for _, r := range vm.UnconfirmedRuns() {
+			o.orderStop(r, "unconfirmed start")
 		}
-		reply.Needs, reply.Doubts = runNeeds(vm), unconfirmedStarts(vm, now)
+		reply.Needs, reply.UnconfirmedStarts = runNeeds(vm), unconfirmedStarts(vm, now)
 		o.dirty = true
-		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Life, "runs": len(vm.Runs), "ready": vm.Ready})
+		o.s.config.Reporter.Report(reporter.VMAttached, reporter.Fields{"vm": vm.Name, "life": vm.Incarnation, "runs": len(vm.Runs), "ready": vm.Ready})
 	} else {
 		o.dirty = o.dirty || s.vm.Ready != e.parsed.Ready || !s.vm.Attached
 		s.vm.Attached = true
-		if e.report.Facts != nil {
-			o.state.Describe(s.vm, e.facts)
+		if e.report.VMInfo != nil {
+			o.state.UpdateInfo(s.vm, e.info)
 		}
 		changes = o.state.Apply(s.vm, e.parsed, now)
 	}
@@ -135,7 +135,7 @@
 	s.granted = e.report.Granted
 	delete(o.unreported, s.vm.Name)
 	o.reportChanges(s.vm, changes)
-	planner.Learn(o.learner, s.vm, now)
+	planner.ObserveReport(o.learner, s.vm, now)
 	o.dirty = o.dirty || changes.Any()
 	// A VM gets no grant before it is stored as a member: the next owner must know which VMs to
 	// wait for.
@@ -225,10 +225,10 @@
 // reportChanges logs and counts the changes of a report.
 func (o *owner) reportChanges(vm *accountant.VM, c accountant.Changes) {
 	for _, e := range c.Ended {
-		o.s.config.Meters.runEnded(e.How)
-		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.How), "end": e.Seq})
+		o.s.config.Metrics.runEnded(e.Outcome)
+		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.Outcome), "end": e.Seq})
 	}
-	o.reportLost(vm, c.Lost, "not at the worker any more")
+	o.reportLost(vm, c.Lost, "no longer reported by the worker")
 	for _, r := range c.Adopted {
 		o.s.config.Reporter.Report(reporter.JobRunAdopted, reporter.Fields{"task": r.Key().Task.String(), "run": r.Number, "vm": vm.Name})
 	}
@@ -245,20 +245,20 @@
 }
 
 // unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
-func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkDoubt {
-	var all []messenger.WorkDoubt
-	for _, d := range vm.Inherited(now) {
-		all = append(all, messenger.WorkDoubt{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
+func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkUnconfirmedStart {
+	var all []messenger.WorkUnconfirmedStart
+	for _, d := range vm.InheritedStarts(now) {
+		all = append(all, messenger.WorkUnconfirmedStart{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
 	}
 	return all
 }
 
-func parseReport(r messenger.WorkReport) (accountant.Report, accountant.Facts, error) {
-	rep := accountant.Report{Life: r.Life, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
+func parseReport(r messenger.WorkReport) (accountant.Report, accountant.VMInfo, error) {
+	rep := accountant.Report{Incarnation: r.Incarnation, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
 	for _, w := range r.Runs {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
 		run := accountant.ReportedRun{Key: accountant.RunKey{Task: id, Number: w.Run}, Confirmed: w.Confirmed, Stopping: w.Stopping, Checkpoint: w.Checkpoint, Progress: w.Progress, Measure: w.Measure}
 		if w.Needs != nil {
@@ -269,23 +269,23 @@
 	for _, w := range r.Ends {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
-		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, How: accountant.End(w.How), Checkpoint: w.Checkpoint})
+		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, Outcome: accountant.End(w.Outcome), Checkpoint: w.Checkpoint})
 	}
-	for _, w := range r.Doubts {
+	for _, w := range r.UnconfirmedStarts {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.Facts{}, err
+			return rep, accountant.VMInfo{}, err
 		}
-		rep.Doubts = append(rep.Doubts, accountant.ReportedDoubt{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
+		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, accountant.UnconfirmedStart{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
 	}
-	facts := accountant.Facts{Name: r.VM}
-	if f := r.Facts; f != nil {
-		facts.Zone, facts.Rack, facts.Service, facts.Labels, facts.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
-		facts.WorkerID = f.WorkerID
+	info := accountant.VMInfo{Name: r.VM}
+	if f := r.VMInfo; f != nil {
+		info.Zone, info.Rack, info.Service, info.Labels, info.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
+		info.WorkerID = f.WorkerID
 	}
-	return rep, facts, nil
+	return rep, info, nil
 }
 
 func (o *owner) orderStart(s *session, start planner.Start, now time.Time) {
@@ -295,10 +295,10 @@
 		Seq: r.Order, Kind: messenger.WorkStart, Task: r.Key().Task.String(), Run: r.Number,
 		Payload: r.Step().Occurrence.Job.Spec.Payload, Checkpoint: r.Checkpoint, Ticket: start.Ticket, Needs: spec.Committed(),
 	})
-	o.s.config.Meters.runStarted(r, now)
+	o.s.config.Metrics.runStarted(r, now)
 	o.s.config.Reporter.Report(reporter.JobStartDecided, reporter.Fields{
 		"task": r.Key().Task.String(), "run": r.Number, "vm": start.VM.Name, "waited": now.Sub(start.Task.WaitSince).String(),
-		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.FillCPU, "lasting": start.VM.Lasting,
+		"committed-cpu": start.VM.Committed.CPUMillis, "fill-cpu": start.VM.BestEffortCPU, "lasting": start.VM.LongRunning,
 		"policy": o.state.Policy().Version, "copy": start.Copy,
 	})
 }
@@ -333,10 +333,10 @@
 		if s.vm.EndStored <= s.sentEndStored && len(s.queued) == 0 {
 			continue
 		}
-		if o.state.VMs[name].Life == "" {
+		if o.state.VMs[name].Incarnation == "" {
 			continue
 		}
-		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Life: s.vm.Life, EndsStored: s.vm.EndStored, Orders: s.queued}
+		m := messenger.WorkOrders{Epoch: o.epoch, Session: s.number, Incarnation: s.vm.Incarnation, EndsStored: s.vm.EndStored, Orders: s.queued}
 		s.sentEndStored, s.queued = s.vm.EndStored, nil
 		s.post(m)
 	}
@@ -365,7 +365,7 @@
 		}
 		m := s.outbox[0]
 		for _, next := range s.outbox[1:] { // one call for all queued messages
-			if next.Life != m.Life {
+			if next.Incarnation != m.Incarnation {
 				break
 			}
 			m.Orders, m.EndsStored = append(m.Orders, next.Orders...), next.EndsStored
--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -39,25 +39,25 @@
 func (g *Guardian) dropExpiredStartsLocked() {
 	now := g.config.Now()
 	for k, d := range g.unconfirmedStarts {
-		if now.Sub(d.sentAt) >= accountant.DoubtLife {
+		if now.Sub(d.sentAt) >= accountant.UnconfirmedStartMaxAge {
 			delete(g.unconfirmedStarts, k)
 		}
 	}
 }
 
 // unconfirmedStartsLocked lists the unconfirmed starts.
-func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkDoubt {
+func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkUnconfirmedStart {
 	g.dropExpiredStartsLocked()
-	var all []messenger.WorkDoubt
+	var all []messenger.WorkUnconfirmedStart
 	for key, d := range g.unconfirmedStarts {
-		all = append(all, messenger.WorkDoubt{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
+		all = append(all, messenger.WorkUnconfirmedStart{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
 	}
 	return all
 }
 
 // adoptUnconfirmedStartLocked adopts a start sent by an earlier process of this agent, unless
 // the worker is known to have the run.
-func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkDoubt) {
+func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkUnconfirmedStart) {
 	id, err := specifier.ParseTaskID(d.Task)
 	if err != nil {
 		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": d.Task, "error": err.Error()})
@@ -93,7 +93,7 @@
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		s, ok := g.unconfirmedStarts[key]
-		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.DoubtLife
+		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.UnconfirmedStartMaxAge
 		epoch := g.epoch
 		g.mu.Unlock()
 		if done {
--- a/tests/integration/job_testbed_test.go
+++ b/tests/integration/job_testbed_test.go
@@ -60,7 +60,7 @@
 	}
 	for i := range 1 + r.random.IntN(3) {
 		s := specifier.Step{
-			Count: 1 + r.random.IntN(4), EstimateMillis: 300, Checkpoints: true, Fills: r.random.IntN(3) == 0,
+			Count: 1 + r.random.IntN(4), EstimateMillis: 300, Checkpoints: true, BestEffort: r.random.IntN(3) == 0,
 			Needs: specifier.Resources{CPUMillis: 500 * (1 + r.random.Int64N(6)), MemoryMB: 100 * (1 + r.random.Int64N(20))},
 		}
 		if i > 0 {
@@ -136,7 +136,7 @@
 	vm, incarnation string
 	run             int64
 	from, to        time.Time // to is zero while the run has not ended
-	how             string
+	outcome         string
 	acknowledged    bool // its end was acknowledged
 	expired         bool // leases expired between its end and the acknowledgement
 }
@@ -146,7 +146,7 @@
 	all := make(map[string][]*span)
 	find := func(e executor.Event) *span {
 		for _, s := range all[e.Task] {
-			if s.vm == e.VM && s.incarnation == e.Life && s.run == e.Run {
+			if s.vm == e.VM && s.incarnation == e.Incarnation && s.run == e.Run {
 				return s
 			}
 		}
@@ -155,10 +155,10 @@
 	for _, e := range events {
 		switch e.Kind {
 		case "start":
-			all[e.Task] = append(all[e.Task], &span{vm: e.VM, incarnation: e.Life, run: e.Run, from: e.At})
+			all[e.Task] = append(all[e.Task], &span{vm: e.VM, incarnation: e.Incarnation, run: e.Run, from: e.At})
 		case "end":
 			if s := find(e); s != nil {
-				s.to, s.how = e.At, e.How
+				s.to, s.outcome = e.At, e.Outcome
 			}
 		case "acknowledged":
 			if s := find(e); s != nil {
@@ -167,7 +167,7 @@
 		case "lapse":
 			for _, runs := range all {
 				for _, s := range runs {
-					if s.vm == e.VM && s.incarnation == e.Life && !s.acknowledged && !s.to.IsZero() {
+					if s.vm == e.VM && s.incarnation == e.Incarnation && !s.acknowledged && !s.to.IsZero() {
 						s.expired = true
 					}
 				}
@@ -187,7 +187,7 @@
 				if a.to.IsZero() || b.from.Before(a.to) {
 					r.t.Errorf("%s: run %d on %s from %s to %s, run %d on %s from %s", task, a.run, a.vm, formatTime(a.from), formatTime(a.to), b.run, b.vm, formatTime(b.from))
 				}
-				if a.how == "done" && a.acknowledged && !a.expired {
+				if a.outcome == "done" && a.acknowledged && !a.expired {
 					r.t.Errorf("%s: run %d on %s was done at %s and acknowledged; run %d began on %s at %s", task, a.run, a.vm, formatTime(a.to), b.run, b.vm, formatTime(b.from))
 				}
 				if b.run <= a.run {
@@ -235,7 +235,7 @@
 // doneAt returns when a task was first done.
 func doneAt(runs []*span) time.Time {
 	for _, s := range runs {
-		if s.how == "done" {
+		if s.outcome == "done" {
 			return s.to
 		}
 	}
