--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -60,10 +60,10 @@
 
 // Config holds the settings of a Receiver.
 type Config struct {
-	Store     keeper.Calls
-	StoreAge  func() time.Duration // time since the last contact with the store
-	StoreLost func() bool          // the latest calls to the store all failed
-	CallOwner func(ctx context.Context, method string, params, result any) error
+	Store            keeper.Calls
+	StoreAge         func() time.Duration // time since the last contact with the store
+	StoreUnreachable func() bool          // the latest calls to the store all failed
+	CallOwner        func(ctx context.Context, method string, params, result any) error
 	// HadNoEffect reports whether an error of CallOwner proves that the call had no effect.
 	HadNoEffect func(error) bool
 	// NotOwner reports whether an error of CallOwner came from an entry that has lost the
@@ -159,7 +159,7 @@
 func (r *Receiver) createRecordDirectly(ctx context.Context, key string, value []byte) Result {
 	// The outcome of a write to an unavailable store would be unknown. Without an attempt, the
 	// caller gets a certain answer at once.
-	if r.config.StoreLost() || r.config.StoreAge() > maxStoreAge {
+	if r.config.StoreUnreachable() || r.config.StoreAge() > maxStoreAge {
 		return Result{Outcome: Refused, Reason: "store not reached"}
 	}
 	t := keeper.Transaction{Expect: []keeper.Expectation{{Key: key}}, Puts: []keeper.Put{{Key: key, Value: value}}}
@@ -182,7 +182,7 @@
 			return Result{Outcome: Refused, Reason: err.Error()}
 		}
 		pause := writeRetryDelay
-		if r.config.StoreLost() {
+		if r.config.StoreUnreachable() {
 			pause = lostStoreRetryDelay
 		}
 		if pauser.Pause(ctx, pause) != nil {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -21,11 +21,11 @@
 
 // fakeStore returns the given answers to writes in order; the last one is repeated.
 type fakeStore struct {
-	mu      sync.Mutex
-	answers []error
-	written map[string][]byte
-	calls   int
-	lost    bool // as seen by the process
+	mu          sync.Mutex
+	answers     []error
+	written     map[string][]byte
+	calls       int
+	unreachable bool // as seen by the process
 }
 
 func (f *fakeStore) transact(_ context.Context, t keeper.Transaction) (int64, error) {
@@ -64,13 +64,13 @@
 		owner = func(string, any) error { return errors.New("no owner") }
 	}
 	return New(Config{
-		Store:       keeper.Calls{Transact: f.transact, GetRecord: f.get},
-		StoreAge:    func() time.Duration { return age },
-		StoreLost:   func() bool { return f.lost },
-		CallOwner:   func(_ context.Context, method string, _, result any) error { return owner(method, result) },
-		HadNoEffect: func(error) bool { return true },
-		NotOwner:    func(err error) bool { return errors.Is(err, errNotOwner) },
-		Now:         time.Now, Reporter: reporter.Discard(),
+		Store:            keeper.Calls{Transact: f.transact, GetRecord: f.get},
+		StoreAge:         func() time.Duration { return age },
+		StoreUnreachable: func() bool { return f.unreachable },
+		CallOwner:        func(_ context.Context, method string, _, result any) error { return owner(method, result) },
+		HadNoEffect:      func(error) bool { return true },
+		NotOwner:         func(err error) bool { return errors.Is(err, errNotOwner) },
+		Now:              time.Now, Reporter: reporter.Discard(),
 	})
 }
 
@@ -81,12 +81,12 @@
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
 	exists := keeper.ErrConflict{Key: scheduler.JobKey(id)}
 	tests := []struct {
-		name    string
-		answers []error
-		age     time.Duration
-		want    Outcome
-		calls   int // 0: any number
-		lost    bool
+		name        string
+		answers     []error
+		age         time.Duration
+		want        Outcome
+		calls       int // 0: any number
+		unreachable bool
 	}{
 		{"stored", nil, 0, Accepted, 1, false},
 		{"stored before", []error{exists}, 0, Accepted, 1, false},
@@ -96,11 +96,11 @@
 		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, OutcomeUnknown, 0, false},
 		{"all answers lost", []error{lost}, 0, OutcomeUnknown, 0, false},
 		{"store not reached for long", nil, time.Minute, Refused, 0, false},
-		{"store lost recently", nil, 0, Refused, 0, true},
+		{"store unreachable recently", nil, 0, Refused, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &fakeStore{answers: tt.answers, lost: tt.lost}
+			f := &fakeStore{answers: tt.answers, unreachable: tt.unreachable}
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
 			res := newReceiver(f, tt.age, nil).Submit(ctx, &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}})
@@ -110,7 +110,7 @@
 			if res.Outcome == Refused && res.RetryAfter <= 0 {
 				t.Error("refused without a retry time")
 			}
-			if (tt.age > 0 || tt.lost) && f.calls > 0 {
+			if (tt.age > 0 || tt.unreachable) && f.calls > 0 {
 				t.Error("a write was sent to a store that is known to be unavailable")
 			}
 		})
@@ -230,7 +230,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newReceiver(&fakeStore{lost: true}, 6*time.Second, tt.owner)
+			r := newReceiver(&fakeStore{unreachable: true}, 6*time.Second, tt.owner)
 			res := r.Submit(t.Context(), &specifier.Job{ID: id})
 			if res.Outcome != Refused || res.RetryAfter < minRetryAfter || (res.RetryAfter > minRetryAfter) != tt.duringOutage {
 				t.Errorf("got %+v", res)
--- a/internal/service/hoster/entry.go
+++ b/internal/service/hoster/entry.go
@@ -74,7 +74,7 @@
 	})
 	e.forwarder = forwarder.New(forwarder.Config{Self: self, Owner: e.scheduler.Owner, Handle: e.scheduler.Handle, Reporter: c.Reporter})
 	e.receiver = receiver.New(receiver.Config{
-		Store: calls, StoreAge: observed.Age, StoreLost: observed.Lost, CallOwner: e.forwarder.Call, HadNoEffect: forwarder.HadNoEffect, NotOwner: forwarder.NotOwner, Now: now, Reporter: c.Reporter,
+		Store: calls, StoreAge: observed.Age, StoreUnreachable: observed.Unreachable, CallOwner: e.forwarder.Call, HadNoEffect: forwarder.HadNoEffect, NotOwner: forwarder.NotOwner, Now: now, Reporter: c.Reporter,
 	})
 	return e
 }
--- a/internal/service/server/jobs.go
+++ b/internal/service/server/jobs.go
@@ -47,7 +47,7 @@
 		},
 	})
 	s.jobs.receiver = receiver.New(receiver.Config{
-		Store: calls, StoreLost: observed.Lost,
+		Store: calls, StoreUnreachable: observed.Unreachable,
 		StoreAge:  func() time.Duration { return 0 }, // not measured: the only calls made regularly are watches, which wait for seconds
 		CallOwner: s.jobs.forwarder.Call, HadNoEffect: forwarder.HadNoEffect, NotOwner: forwarder.NotOwner, Now: timekeeper.Now, Reporter: c.Reporter,
 	})
--- a/internal/store/observer/observer.go
+++ b/internal/store/observer/observer.go
@@ -10,10 +10,10 @@
 	"bamboospread/internal/store/keeper"
 )
 
-// lostAfterFailures is how many consecutive calls must fail before the store counts as
-// lost. If a third of the answers to writes are lost, three consecutive writes fail in
+// unreachableAfterFailures is how many consecutive calls must fail before the store counts as
+// unreachable. If a third of the answers to writes are lost, three consecutive writes fail in
 // one case of 27, and reads in between are answered.
-const lostAfterFailures = 3
+const unreachableAfterFailures = 3
 
 // Observer records the results of calls. It is safe for concurrent use.
 type Observer struct {
@@ -36,11 +36,11 @@
 	return o.now().Sub(o.reachedAt)
 }
 
-// Lost reports whether at least the last lostAfterFailures calls all failed.
-func (o *Observer) Lost() bool {
+// Unreachable reports whether at least the last unreachableAfterFailures calls all failed.
+func (o *Observer) Unreachable() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.failures >= lostAfterFailures
+	return o.failures >= unreachableAfterFailures
 }
 
 // record records the result of a call. A failed condition and a missing key are answers.
--- a/internal/store/observer/observer_test.go
+++ b/internal/store/observer/observer_test.go
@@ -11,9 +11,9 @@
 
 // Guards against callers that learn seconds late that their jobs were not accepted: the store
 // is unreachable, and each entry retries every write until its caller's timeout. The store
-// counts as lost from the third consecutive call without an answer until the next answer.
+// counts as unreachable from the third consecutive call without an answer until the next answer.
 // A negative answer is also an answer.
-func TestLost(t *testing.T) {
+func TestUnreachable(t *testing.T) {
 	unavailable := keeper.ErrUnavailable{Cause: errors.New("reset")}
 	unknown := keeper.ErrOutcomeUnknown{Cause: errors.New("no answer")}
 	tests := []struct {
@@ -51,8 +51,8 @@
 					t.Fatalf("got %v, want %v", err, result)
 				}
 			}
-			if o.Lost() != tt.want {
-				t.Errorf("Lost is %t", o.Lost())
+			if o.Unreachable() != tt.want {
+				t.Errorf("Unreachable is %t", o.Unreachable())
 			}
 			if n := len(tt.results); n > 0 && tt.results[n-1] == nil && o.Age() != time.Second {
 				t.Errorf("Age is %s, want 1s since the call was sent", o.Age())
