--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -36,15 +36,15 @@
 	EntryID string
 	Address string        // RPC address of this process
 	Lease   time.Duration // 0: DefaultLease
-	// ReplaceOwn lets this process replace the record of its own earlier incarnation
+	// ReplaceOwnRecord lets this process replace the record of its own earlier incarnation
 	// without waiting for that lease to expire. The epoch alone must then protect
 	// whatever an owner does, because the earlier lease may still be valid.
-	ReplaceOwn bool
-	// Patience is the minimum time that this process leaves a vacant cell to other
+	ReplaceOwnRecord bool
+	// ClaimDelay is the minimum time that this process leaves a vacant cell to other
 	// processes before it tries to acquire it. While the store is slow the delay is
 	// longer, up to the length of the lease.
-	Patience time.Duration
-	Now      func() time.Time
+	ClaimDelay time.Duration
+	Now        func() time.Time
 	// Store calls; FromKeeper sets them.
 	FindRecords    func(ctx context.Context, o keeper.ListOptions) (keeper.ListResult, error)
 	GetRecord      func(ctx context.Context, key string) (keeper.Record, error)
@@ -85,8 +85,8 @@
 
 func (e *Elector) key() string { return fmt.Sprintf("cells/%s/owner", e.config.Cell) }
 
-// Known returns the owner as last read from the store.
-func (e *Elector) Known() (messenger.CellOwner, bool) {
+// LastSeenOwner returns the owner as last read from the store.
+func (e *Elector) LastSeenOwner() (messenger.CellOwner, bool) {
 	o := e.lastSeen.Load()
 	if o == nil || o.EntryID == "" || o.Epoch == 0 {
 		return messenger.CellOwner{}, false
@@ -118,7 +118,7 @@
 // Acquire waits until this process holds the ownership. The owner's record has no
 // epoch until Publish is called.
 func (e *Elector) Acquire(ctx context.Context) error {
-	for awaitFirst := e.config.Patience > 0; ; {
+	for awaitFirst := e.config.ClaimDelay > 0; ; {
 		if awaitFirst {
 			e.awaitVacancy(ctx)
 			if err := pauser.Pause(ctx, e.acquireDelay()); err != nil {
@@ -132,7 +132,7 @@
 		if err == nil && !heldByOther {
 			return nil
 		}
-		awaitFirst = heldByOther || e.config.Patience > 0
+		awaitFirst = heldByOther || e.config.ClaimDelay > 0
 		if err != nil {
 			_ = pauser.Pause(ctx, retryInterval)
 		}
@@ -141,10 +141,10 @@
 
 // acquireDelay returns how long this process currently leaves a vacant cell to others.
 func (e *Elector) acquireDelay() time.Duration {
-	if e.config.Patience <= 0 {
+	if e.config.ClaimDelay <= 0 {
 		return 0
 	}
-	return max(e.config.Patience, min(takeoverCalls*e.readLatency, e.config.Lease))
+	return max(e.config.ClaimDelay, min(takeoverCalls*e.readLatency, e.config.Lease))
 }
 
 // tryAcquire tries once to acquire the ownership; heldByOther means that another process
@@ -196,7 +196,7 @@
 // one has ended.
 func (e *Elector) isOwnEarlierRecord(record keeper.Record) bool {
 	var o messenger.CellOwner
-	if !e.config.ReplaceOwn || json.Unmarshal(record.Value, &o) != nil {
+	if !e.config.ReplaceOwnRecord || json.Unmarshal(record.Value, &o) != nil {
 		return false
 	}
 	return o.EntryID == e.config.EntryID && o.Address == e.config.Address
@@ -315,8 +315,8 @@
 	return nil
 }
 
-// Keep renews the lease until the lease has expired or ctx ends.
-func (e *Elector) Keep(ctx context.Context) error {
+// RenewLease renews the lease until the lease has expired or ctx ends.
+func (e *Elector) RenewLease(ctx context.Context) error {
 	for {
 		if err := pauser.Pause(ctx, e.config.Lease/renewalsPerLease); err != nil {
 			return err
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -21,10 +21,10 @@
 	Quarantined bool
 	Services    []string  // services with an upstream or a replica on the VM
 	ReturnedAt  time.Time // when its zone returned; zero if it did not return recently
-	// Acted is the time of the latest throttle or eviction decision for the VM,
+	// LastAdjustedAt is the time of the latest throttle or eviction decision for the VM,
 	// zero if there was none. Measurements that began earlier do not trigger
 	// the next step.
-	Acted time.Time
+	LastAdjustedAt time.Time
 }
 
 // Task describes a task to the placer.
@@ -65,16 +65,16 @@
 	// Pressure returns the measured p99 of a service on a VM divided by its
 	// latency objective; 0 if there is no recent report. May be nil.
 	Pressure func(vm, service string) float64
-	// Recent returns the latest measurements of a service on a VM, newest
-	// first; none if there is no recent report. If Recent is nil, the value of
+	// RecentWindows returns the latest measurements of a service on a VM, newest
+	// first; none if there is no recent report. If RecentWindows is nil, the value of
 	// Pressure is used as a single measurement that ends now.
-	Recent func(vm, service string) []Window
+	RecentWindows func(vm, service string) []Window
 	// EvictionsLeft is the remaining budget of planned evictions.
 	EvictionsLeft int
-	// Unsettled is set while some VMs of the cell may not be known yet, as
+	// Unreconciled is set while some VMs of the cell may not be known yet, as
 	// after a change of owner. No task is then held for being larger than every
 	// VM.
-	Unsettled bool
+	Unreconciled bool
 }
 
 // Start places a queued task.
--- a/internal/demo/demonstrator/job.go
+++ b/internal/demo/demonstrator/job.go
@@ -51,7 +51,7 @@
 		}
 		a, err := agent.New(agent.Config{
 			ID: "agent-" + name, VM: name, Zone: zoneNames[2*i], Rack: "rack-jobs", Entries: rpc, ExecutorURL: url,
-			LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopLimit: stopLimit, Reporter: d.config.Reporter,
+			LocalListen: "127.0.0.1:0", Listen: "127.0.0.1:0", Cell: "main", StopTimeout: stopTimeout, Reporter: d.config.Reporter,
 		})
 		if err != nil {
 			return err
@@ -113,7 +113,7 @@
 				}
 			case v.Kind == "end":
 				running[v.Task]--
-				if v.How == "done" {
+				if v.Outcome == "done" {
 					done[v.Task]++
 					if id.Step == 0 && v.At.After(lastFirst) {
 						lastFirst = v.At
--- a/internal/job/forwarder/forwarder.go
+++ b/internal/job/forwarder/forwarder.go
@@ -46,8 +46,8 @@
 
 func (ErrOwnerNotExist) Error() string { return "no owner of the cell is known" }
 
-// NotDone reports whether an error of Call proves that the call had no effect.
-func NotDone(err error) bool {
+// HadNoEffect reports whether an error of Call proves that the call had no effect.
+func HadNoEffect(err error) bool {
 	var none ErrOwnerNotExist
 	var dial dialError
 	code := connector.CodeOf(err)
@@ -156,7 +156,7 @@
 	case err != nil && !f.lost:
 		f.config.Reporter.Report(reporter.OwnerUnreachable, reporter.Fields{"error": err.Error()})
 	case err == nil && f.lost:
-		f.config.Reporter.Report(reporter.OwnerReached, reporter.Fields{"address": f.connAddress})
+		f.config.Reporter.Report(reporter.OwnerReachable, reporter.Fields{"address": f.connAddress})
 	}
 	f.lost = err != nil
 }
--- a/internal/job/planner/cache_test.go
+++ b/internal/job/planner/cache_test.go
@@ -16,11 +16,11 @@
 func TestCacheDoesNotChangePlacement(t *testing.T) {
 	in, b := busyFleet(11)
 	cached := in
-	cached.Memory = NewMemory()
+	cached.Cache = NewCache()
 	for round := range 12 {
 		now := begin.Add(2*time.Second + time.Duration(round)*20*time.Millisecond)
 		in.Now, cached.Now = now, now
-		b.job("q", specifier.Step{Count: 3, Needs: cores(2), EstimateMillis: 900, Fills: true, Image: "f5"})
+		b.job("q", specifier.Step{Count: 3, Needs: cores(2), EstimateMillis: 900, BestEffort: true, Image: "f5"})
 		starts := Plan(cached)
 		if diff := cmp.Diff(vmsByTask(Plan(in)), vmsByTask(starts)); diff != "" {
 			t.Fatalf("round %d: %s", round, diff)
@@ -37,12 +37,12 @@
 func TestChangedVMIsNotCached(t *testing.T) {
 	f := newMixedFleet(2)
 	f.submitBestEffort("x")
-	in := Input{Now: begin, State: f.state, Learner: f.learner, Memory: NewMemory()}
+	in := Input{Now: begin, State: f.state, Learner: f.learner, Cache: NewCache()}
 	Plan(in)
 	vm := f.vms[0]
 	isCached := func(now time.Time) bool {
 		m := newVMState(vm, now)
-		in.Memory.restore(m)
+		in.Cache.restore(m)
 		return m.neighboursKnown
 	}
 	if !isCached(begin) {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -21,11 +21,11 @@
 
 // fakeStore returns the given answers to writes in order; the last one is repeated.
 type fakeStore struct {
-	mu      sync.Mutex
-	answers []error
-	written map[string][]byte
-	calls   int
-	lost    bool // as seen by the process
+	mu          sync.Mutex
+	answers     []error
+	written     map[string][]byte
+	calls       int
+	unreachable bool // as seen by the process
 }
 
 func (f *fakeStore) transact(_ context.Context, t keeper.Transaction) (int64, error) {
@@ -64,13 +64,13 @@
 		owner = func(string, any) error { return errors.New("no owner") }
 	}
 	return New(Config{
-		Store:     keeper.Calls{Transact: f.transact, GetRecord: f.get},
-		StoreAge:  func() time.Duration { return age },
-		StoreLost: func() bool { return f.lost },
-		CallOwner: func(_ context.Context, method string, _, result any) error { return owner(method, result) },
-		NotDone:   func(error) bool { return true },
-		NotOwner:  func(err error) bool { return errors.Is(err, errNotOwner) },
-		Now:       time.Now, Reporter: reporter.Discard(),
+		Store:            keeper.Calls{Transact: f.transact, GetRecord: f.get},
+		StoreAge:         func() time.Duration { return age },
+		StoreUnreachable: func() bool { return f.unreachable },
+		CallOwner:        func(_ context.Context, method string, _, result any) error { return owner(method, result) },
+		HadNoEffect:      func(error) bool { return true },
+		NotOwner:         func(err error) bool { return errors.Is(err, errNotOwner) },
+		Now:              time.Now, Reporter: reporter.Discard(),
 	})
 }
 
@@ -81,26 +81,26 @@
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
 	exists := keeper.ErrConflict{Key: scheduler.JobKey(id)}
 	tests := []struct {
-		name    string
-		answers []error
-		age     time.Duration
-		want    Outcome
-		calls   int // 0: any number
-		lost    bool
+		name        string
+		answers     []error
+		age         time.Duration
+		want        Outcome
+		calls       int // 0: any number
+		unreachable bool
 	}{
 		{"stored", nil, 0, Accepted, 1, false},
 		{"stored before", []error{exists}, 0, Accepted, 1, false},
 		{"certainly not stored", []error{busy}, 0, Refused, 1, false},
 		{"answer lost, then a conflict", []error{lost, exists}, 0, Accepted, 2, false},
 		{"answer lost, then stored", []error{lost, nil}, 0, Accepted, 2, false},
-		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, Unsettled, 0, false},
-		{"all answers lost", []error{lost}, 0, Unsettled, 0, false},
+		{"answer lost, then refused: the first write may still take effect", []error{lost, busy}, 0, OutcomeUnknown, 0, false},
+		{"all answers lost", []error{lost}, 0, OutcomeUnknown, 0, false},
 		{"store not reached for long", nil, time.Minute, Refused, 0, false},
-		{"store lost recently", nil, 0, Refused, 0, true},
+		{"store unreachable recently", nil, 0, Refused, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &fakeStore{answers: tt.answers, lost: tt.lost}
+			f := &fakeStore{answers: tt.answers, unreachable: tt.unreachable}
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
 			res := newReceiver(f, tt.age, nil).Submit(ctx, &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}})
@@ -110,7 +110,7 @@
 			if res.Outcome == Refused && res.RetryAfter <= 0 {
 				t.Error("refused without a retry time")
 			}
-			if (tt.age > 0 || tt.lost) && f.calls > 0 {
+			if (tt.age > 0 || tt.unreachable) && f.calls > 0 {
 				t.Error("a write was sent to a store that is known to be unavailable")
 			}
 		})
@@ -122,17 +122,17 @@
 func TestSubmitThroughOwner(t *testing.T) {
 	busy := keeper.ErrUnavailable{Cause: errors.New("busy")}
 	tests := []struct {
-		name    string
-		outcome messenger.WorkStoreOutcome
-		err     error
-		notDone bool
-		want    Outcome
+		name        string
+		outcome     messenger.WorkStoreOutcome
+		err         error
+		hadNoEffect bool
+		want        Outcome
 	}{
 		{"stored", messenger.WorkStored, nil, false, Accepted},
 		{"refused at the owner too", messenger.WorkRefused, nil, false, Refused},
-		{"outcome unknown at the owner", messenger.WorkUnsettled, nil, false, Unsettled},
+		{"outcome unknown at the owner", messenger.WorkOutcomeUnknown, nil, false, OutcomeUnknown},
 		{"owner not reached", "", errors.New("refused"), true, Refused},
-		{"owner's answer lost", "", errors.New("lost"), false, Unsettled},
+		{"owner's answer lost", "", errors.New("lost"), false, OutcomeUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -142,7 +142,7 @@
 				}
 				return tt.err
 			})
-			r.config.NotDone = func(error) bool { return tt.notDone }
+			r.config.HadNoEffect = func(error) bool { return tt.hadNoEffect }
 			if res := r.Submit(t.Context(), &specifier.Job{ID: id, Queue: "q", Steps: []specifier.Step{{Count: 1}}}); res.Outcome != tt.want {
 				t.Errorf("outcome %d (%s), want %d", res.Outcome, res.Reason, tt.want)
 			}
@@ -230,7 +230,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newReceiver(&fakeStore{lost: true}, 6*time.Second, tt.owner)
+			r := newReceiver(&fakeStore{unreachable: true}, 6*time.Second, tt.owner)
 			res := r.Submit(t.Context(), &specifier.Job{ID: id})
 			if res.Outcome != Refused || res.RetryAfter < minRetryAfter || (res.RetryAfter > minRetryAfter) != tt.duringOutage {
 				t.Errorf("got %+v", res)
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -107,7 +107,7 @@
 	if !j.State.Final() {
 		return puts, nil
 	}
-	tombstone, err := j.EncodeRemains()
+	tombstone, err := j.EncodeTombstone()
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 		o.s.config.Reporter.Report(reporter.ProgressNotStored, reporter.Fields{"jobs": len(e.flush.Jobs), "error": e.err.Error()})
 		return
 	}
-	o.s.config.Meters.progressWritten(e.took)
+	o.s.config.Metrics.progressWritten(e.took)
 	o.s.config.Reporter.Report(reporter.ProgressStored, reporter.Fields{"jobs": len(e.flush.Jobs), "took": e.took.String()})
 }
 
--- a/internal/job/scheduler/orders_test.go
+++ b/internal/job/scheduler/orders_test.go
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	s.conn, s.reporter = <-opened, r
-	s.post(messenger.WorkOrders{Epoch: 2, Session: 1, Life: "1"})
+	s.post(messenger.WorkOrders{Epoch: 2, Session: 1, Incarnation: "1"})
 	select {
 	case <-agent.Done():
 	case <-time.After(3 * time.Second):
 		t.Error("the session has not ended")
 	}
-	if line := <-lines; !strings.Contains(line, "orders not taken") || !strings.Contains(line, "vm=vm-1") {
+	if line := <-lines; !strings.Contains(line, "orders not accepted") || !strings.Contains(line, "vm=vm-1") {
 		t.Errorf("logged %q", line)
 	}
 }
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -60,20 +60,20 @@
 	Store   keeper.Calls
 	Lease   time.Duration // 0: DefaultLease
 	Grant   time.Duration // 0: DefaultGrant
-	// Patience is how long a vacant cell is left to other entries before this one claims it.
-	Patience time.Duration
-	Policy   func() *specifier.Policy
+	// ClaimDelay is how long a vacant cell is left to other entries before this one claims it.
+	ClaimDelay time.Duration
+	Policy     func() *specifier.Policy
 	// PolicyAge returns the time since the policy was last confirmed to be the newest; nil if
 	// it always is.
 	PolicyAge func() time.Duration
 	// Advise asks the advising service which workers may run a step and returns a ticket for
 	// each that may; nil without such a service.
 	Advise func(ctx context.Context, step string, workers []string) (map[string]string, error)
-	// StoreFor stores a record for an entry that cannot reach the store.
-	StoreFor func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
-	Now      func() time.Time // monotonic, includes time in suspension
-	Reporter *reporter.Reporter
-	Meters   *Meters
+	// StoreForEntry stores a record for an entry that cannot reach the store.
+	StoreForEntry func(ctx context.Context, q messenger.WorkStoreRequest) messenger.WorkStoreReply
+	Now           func() time.Time // monotonic, includes time in suspension
+	Reporter      *reporter.Reporter
+	Metrics       *Metrics
 }
 
 // Scheduler competes for the ownership of a cell and schedules the cell's jobs while it holds
@@ -97,7 +97,7 @@
 		c.PolicyAge = func() time.Duration { return 0 }
 	}
 	e := elector.New(elector.Config{
-		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwn: true, Patience: c.Patience,
+		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, ClaimDelay: c.ClaimDelay,
 		FindRecords: c.Store.FindRecords, GetRecord: c.Store.GetRecord, CompareAndSwap: c.Store.CompareAndSwap, GrantLease: c.Store.GrantLease,
 		KeepAlive: c.Store.KeepAlive, RevokeLease: c.Store.RevokeLease, Watch: c.Store.Watch,
 	})
@@ -105,7 +105,7 @@
 }
 
 // Owner returns the last known owner of the cell.
-func (s *Scheduler) Owner() (messenger.CellOwner, bool) { return s.elector.Known() }
+func (s *Scheduler) Owner() (messenger.CellOwner, bool) { return s.elector.LastSeenOwner() }
 
 // Owns reports whether this process owns the cell.
 func (s *Scheduler) Owns() bool { return s.owner.Load() != nil }
@@ -118,7 +118,7 @@
 		}
 		err := s.runOwnership(ctx)
 		if ctx.Err() == nil {
-			s.config.Reporter.Report(reporter.CellLost, reporter.Fields{"error": fmt.Sprint(err)})
+			s.config.Reporter.Report(reporter.CellOwnershipLost, reporter.Fields{"error": fmt.Sprint(err)})
 			_ = pauser.Pause(ctx, retryDelay)
 		}
 	}
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	keepErr := make(chan error, 1)
-	go func() { keepErr <- s.elector.Keep(ctx) }()
+	go func() { keepErr <- s.elector.RenewLease(ctx) }()
 	epoch, err := s.raiseEpoch(ctx)
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 	}
 	o.writer.fence = s.elector.Fence()
 	s.owner.Store(o)
-	s.config.Reporter.Report(reporter.CellTaken, reporter.Fields{"epoch": epoch, "jobs": len(o.state.Jobs)})
+	s.config.Reporter.Report(reporter.CellOwnershipTaken, reporter.Fields{"epoch": epoch, "jobs": len(o.state.Jobs)})
 	runErr := make(chan error, 1)
 	go func() { runErr <- o.run(ctx) }()
 	select {
@@ -168,7 +168,7 @@
 	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := s.elector.Release(limit); err != nil && !keeper.IsErrLeaseNotExist(err) {
-		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"error": err.Error()})
+		s.config.Reporter.Report(reporter.HandOverFailed, reporter.Fields{"error": err.Error()})
 	}
 }
 
@@ -229,7 +229,7 @@
 		return serveCall(params, func(h messenger.WorkHint) (messenger.Empty, error) { return messenger.Empty{}, o.hint(ctx, h) })
 	case messenger.MethodWorkStore:
 		return serveCall(params, func(q messenger.WorkStoreRequest) (messenger.WorkStoreReply, error) {
-			return s.config.StoreFor(ctx, q), nil
+			return s.config.StoreForEntry(ctx, q), nil
 		})
 	case messenger.MethodWorkState:
 		return serveCall(params, func(r messenger.WorkStateRequest) (messenger.WorkStateReply, error) { return o.jobState(ctx, r) })
@@ -260,7 +260,7 @@
 
 func (s *Scheduler) ownerInfo() messenger.WorkOwner {
 	w := messenger.WorkOwner{Entries: s.peers.list()}
-	if known, ok := s.elector.Known(); ok {
+	if known, ok := s.elector.LastSeenOwner(); ok {
 		w.Owner = known
 	}
 	return w
--- a/internal/operator/tallier/tallier.go
+++ b/internal/operator/tallier/tallier.go
@@ -129,9 +129,9 @@
 	case reporter.JobEnded:
 		j := t.job(f["job"])
 		j.ended, j.state, j.queue = at, f["state"], f["queue"]
-	case reporter.CellLost:
+	case reporter.CellOwnershipLost:
 		t.ownerlessSince = at
-	case reporter.CellTaken:
+	case reporter.CellOwnershipTaken:
 		if !t.ownerlessSince.IsZero() {
 			t.ownerless += at.Sub(t.ownerlessSince)
 			t.ownerlessSince = time.Time{}
@@ -161,8 +161,8 @@
 	j.runs[f["task"]+" "+f["run"]] = at
 }
 
-func (t *Tallier) end(at time.Time, f fields, how string) {
-	t.runEnds[how]++
+func (t *Tallier) end(at time.Time, f fields, outcome string) {
+	t.runEnds[outcome]++
 	id, _, _ := strings.Cut(f["task"], ".")
 	j := t.job(id)
 	run := f["task"] + " " + f["run"]
@@ -170,7 +170,7 @@
 		j.runTime += at.Sub(from)
 		delete(j.runs, run)
 	}
-	if how != "done" {
+	if outcome != "done" {
 		j.unsuccessfulRuns++
 	}
 }
--- a/internal/service/server/server.go
+++ b/internal/service/server/server.go
@@ -57,7 +57,7 @@
 	OwnerLease  time.Duration
 	VMLease     time.Duration
 	OutageLease time.Duration // 0: the value of the fleet text
-	StopLimit   time.Duration
+	StopTimeout time.Duration
 	Reporter    *reporter.Reporter
 }
 
@@ -129,8 +129,8 @@
 	s.controller = controller.New(controller.Config{
 		Cell: c.Cell, EntryID: c.ID, RPCAddress: c.Advertise, Keeper: s.keeper,
 		Refresh: s.follower.Refresh, Fleet: s.follower.Fleet, Reporter: c.Reporter, Metrics: s.metrics,
-		Placer: placer.New(placer.Config{}), Observe: observeBatch(interference),
-		Interference: interference.Interference, Pressure: interference.Pressure, Recent: interference.Recent,
+		Placer: placer.New(placer.Config{}), ObserveUsage: observeBatch(interference),
+		Interference: interference.Interference, Pressure: interference.Pressure, RecentWindows: interference.RecentWindows,
 		OwnerLease: c.OwnerLease, VMLease: c.VMLease, OutageLease: c.OutageLease,
 	})
 	s.forwarder = forwarder.New(forwarder.Config{
@@ -189,9 +189,9 @@
 	return s.controller.Owner()
 }
 
-// Run serves until ctx ends, then drains and stops within StopLimit.
+// Run serves until ctx ends, then drains and stops within StopTimeout.
 func (s *Server) Run(ctx context.Context) error {
-	r := registrar.New(registrar.Config{Reporter: s.config.Reporter, StopLimit: s.config.StopLimit})
+	r := registrar.New(registrar.Config{Reporter: s.config.Reporter, StopTimeout: s.config.StopTimeout})
 	r.Add(prebuiltService(serviceFollower, s.follower, s.follower.Run, nil))
 	r.Add(prebuiltService(serviceEnroller, s.enroller, s.enroller.Run, nil, serviceFollower))
 	r.Add(prebuiltService(serviceTracker, s.tracker, s.tracker.Run, nil, serviceEnroller))
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := s.controller.Drain(ctx); err != nil {
-		s.config.Reporter.Report(reporter.HandOverNotDone, reporter.Fields{"cell": s.config.Cell, "error": err.Error()})
+		s.config.Reporter.Report(reporter.HandOverFailed, reporter.Fields{"cell": s.config.Cell, "error": err.Error()})
 	}
 	return nil
 }
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -60,14 +60,14 @@
 func (g *Guardian) Execute(o messenger.WorkOrders) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if o.Session == g.session && o.Life == g.incarnation {
+	if o.Session == g.session && o.Incarnation == g.incarnation {
 		g.followLocked(o.Epoch)
 	}
-	if o.Session != g.session || o.Epoch != g.epoch || o.Life != g.incarnation {
-		g.config.Reporter.Report(reporter.OrdersVoid, reporter.Fields{
-			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Life, "life-here": g.incarnation, "orders": len(o.Orders),
+	if o.Session != g.session || o.Epoch != g.epoch || o.Incarnation != g.incarnation {
+		g.config.Reporter.Report(reporter.OrdersExpired, reporter.Fields{
+			"session": o.Session, "session-here": g.session, "epoch": o.Epoch, "epoch-here": g.epoch, "life": o.Incarnation, "life-here": g.incarnation, "orders": len(o.Orders),
 		})
-		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Life}
+		return ErrOrdersExpired{Session: o.Session, Epoch: o.Epoch, Incarnation: o.Incarnation}
 	}
 	g.dropStoredEndsLocked(o.EndsStored)
 	for _, order := range o.Orders {
@@ -126,7 +126,7 @@
 		return "no recent reply from the owner"
 	case g.leaseLocked(g.config.Now()) <= 0:
 		return "no grant"
-	case g.facts == nil || !g.facts.Capacity.Fits(g.committedLocked().Add(o.Needs)):
+	case g.vmInfo == nil || !g.vmInfo.Capacity.Fits(g.committedLocked().Add(o.Needs)):
 		return "not enough free capacity"
 	}
 	return ""
@@ -167,7 +167,7 @@
 // worker's address, as nothing has been sent then.
 func (g *Guardian) sendStart(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) (call StartCall, err error) {
 	for range startAttempts {
-		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Life: incarnation}
+		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Incarnation: incarnation}
 		g.mu.Lock()
 		call.Epoch, call.Until = g.epoch, g.startUntilLocked(g.config.Now())
 		if r := g.runs[key]; r != nil && r.state == starting {
@@ -298,7 +298,7 @@
 	var refused ErrRefused
 	final := errors.As(err, &refused) && !refused.Reason.retryable()
 	if err != nil && !errors.As(err, &refused) {
-		r.latePaceUntil = g.config.Now().Add(accountant.DoubtLife)
+		r.latePaceUntil = g.config.Now().Add(accountant.UnconfirmedStartMaxAge)
 	}
 	if (err == nil || final) && r.pace == percent {
 		r.sendingPace = false
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -51,7 +51,7 @@
 	g.mu.Lock()
 	g.cancelPoll = cancelPoll
 	g.mu.Unlock()
-	seen, err := g.config.Worker.Look(pollCtx, call)
+	status, err := g.config.Worker.Poll(pollCtx, call)
 	if err != nil {
 		if pollCtx.Err() != nil && timeoutCtx.Err() == nil {
 			return // cancelled because of a new epoch or grant
@@ -60,24 +60,24 @@
 		_ = pauser.Pause(ctx, pollRetryPause)
 		return
 	}
-	if !g.applyPoll(seen, call, from) && call.Wait > 0 && g.config.Now().Sub(from.sentAt) < pollMinInterval {
+	if !g.applyPoll(status, call, from) && call.Wait > 0 && g.config.Now().Sub(from.sentAt) < pollMinInterval {
 		_ = pauser.Pause(ctx, pollMinInterval)
 	}
 }
 
 // applyPoll applies the answer to a poll and reports whether it has news other than
 // measurements.
-func (g *Guardian) applyPoll(seen Look, call LookCall, from pollStart) bool {
+func (g *Guardian) applyPoll(status Status, call PollCall, from pollStart) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failedPolls, g.absentPolls = 0, 0
 	if !g.unresponsiveSince.IsZero() {
-		g.config.Reporter.Report(reporter.WorkerRegained, reporter.Fields{"silent": g.config.Now().Sub(g.unresponsiveSince).String()})
+		g.config.Reporter.Report(reporter.WorkerResponding, reporter.Fields{"silent": g.config.Now().Sub(g.unresponsiveSince).String()})
 		g.unresponsiveSince = time.Time{}
 		g.signal()
 	}
-	if g.incarnation != seen.Life {
-		g.beginIncarnationLocked(seen.Life)
+	if g.incarnation != status.Incarnation {
+		g.beginIncarnationLocked(status.Incarnation)
 	}
 	if g.clockAt.IsZero() {
 		g.signal()
@@ -86,11 +86,11 @@
 		g.polledEpoch = call.Epoch
 		g.signal()
 	}
-	g.clock, g.clockAt, g.lastPollSentAt = seen.Clock, g.config.Now(), from.sentAt
-	if from.incarnation != seen.Life {
+	g.clock, g.clockAt, g.lastPollSentAt = status.Clock, g.config.Now(), from.sentAt
+	if from.incarnation != status.Incarnation {
 		from.clock = 0
 	}
-	return g.applyRunsAndEndsLocked(seen, from)
+	return g.applyRunsAndEndsLocked(status, from)
 }
 
 // pollStart is the state known when a poll was sent.
@@ -100,11 +100,11 @@
 	clock       time.Duration // lower bound of the worker's clock; 0: not known
 }
 
-func (g *Guardian) nextPoll() (LookCall, pollStart) {
+func (g *Guardian) nextPoll() (PollCall, pollStart) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	call := LookCall{Epoch: g.epoch, Seen: g.endsStored, Wait: pollWait, LeaseUntil: g.leaseLocked(now)}
+	call := PollCall{Epoch: g.epoch, EndsSeen: g.endsStored, Wait: pollWait, LeaseUntil: g.leaseLocked(now)}
 	if len(g.runs) == 0 {
 		call.Wait = pollWaitIdle
 	}
@@ -174,7 +174,7 @@
 	g.failedPolls++
 	if g.unresponsiveSince.IsZero() && g.failedPolls >= failedPollsToUnresponsive {
 		g.unresponsiveSince = now
-		g.config.Reporter.Report(reporter.WorkerSilent, reporter.Fields{"error": err.Error(), "runs": len(g.runs)})
+		g.config.Reporter.Report(reporter.WorkerNotResponding, reporter.Fields{"error": err.Error(), "runs": len(g.runs)})
 		g.signal()
 	}
 	if IsErrWorkerNotExist(err) {
@@ -196,9 +196,9 @@
 
 // applyRunsAndEndsLocked applies the runs and ends of a poll and reports whether they contain
 // news other than measurements.
-func (g *Guardian) applyRunsAndEndsLocked(seen Look, from pollStart) (news bool) {
-	listed := make(map[accountant.RunKey]bool, len(seen.Runs))
-	for _, s := range seen.Runs {
+func (g *Guardian) applyRunsAndEndsLocked(status Status, from pollStart) (news bool) {
+	listed := make(map[accountant.RunKey]bool, len(status.Runs))
+	for _, s := range status.Runs {
 		key := accountant.RunKey{Task: s.Task, Number: s.Run}
 		listed[key] = true
 		r := g.runs[key]
@@ -219,9 +219,9 @@
 		}
 		r.checkpoint, r.progress, r.measure = s.Checkpoint, s.Progress, s.Measure
 	}
-	news = g.addEndsLocked(seen.Ends) || news
-	news = g.dropLostRunsLocked(listed, seen.Clock, from) || news
-	if news || len(seen.Runs) > 0 && g.config.Now().Sub(g.reportedAt) >= max(metricsMaxAge, metricsMaxAgeGaps*g.reportGap) {
+	news = g.addEndsLocked(status.Ends) || news
+	news = g.dropLostRunsLocked(listed, status.Clock, from) || news
+	if news || len(status.Runs) > 0 && g.config.Now().Sub(g.reportedAt) >= max(metricsMaxAge, metricsMaxAgeGaps*g.reportGap) {
 		g.signal()
 	}
 	return news
@@ -278,7 +278,7 @@
 	}
 }
 
-func (g *Guardian) addEndsLocked(ends []SeenEnd) (news bool) {
+func (g *Guardian) addEndsLocked(ends []ListedEnd) (news bool) {
 	last := g.endsStored
 	if n := len(g.ends); n > 0 {
 		last = g.ends[n-1].Seq
@@ -296,7 +296,7 @@
 			}
 			delete(g.runs, key)
 		}
-		g.config.Reporter.Report(reporter.RunEnded, reporter.Fields{"task": e.Task.String(), "run": e.Run, "how": e.How})
+		g.config.Reporter.Report(reporter.RunEnded, reporter.Fields{"task": e.Task.String(), "run": e.Run, "how": e.Outcome})
 		news = true
 	}
 	return news
--- a/tests/measure/fleet_test.go
+++ b/tests/measure/fleet_test.go
@@ -66,7 +66,7 @@
 	for i := range 3 {
 		e, err := server.New(server.Config{
 			ID: fmt.Sprintf("entry-%d", i), Listen: "127.0.0.1:0", RPCListen: "127.0.0.1:0", Zone: "zone-a", StoreURL: store.URL,
-			Peers: rpc, Cell: "main", Reporter: reporter.Discard(), StopLimit: time.Second,
+			Peers: rpc, Cell: "main", Reporter: reporter.Discard(), StopTimeout: time.Second,
 		})
 		if err != nil {
 			b.Fatal(err)
@@ -184,8 +184,8 @@
 	}
 	harness.WaitFor(b, 20*time.Second, "tasks submitted", func(ctx context.Context) error {
 		r, err := k.Operator().Submit(ctx, specs)
-		if err == nil && !r.Verdicts[0].Accepted {
-			err = fmt.Errorf("refused: %s", r.Verdicts[0].Reason)
+		if err == nil && !r.Results[0].Accepted {
+			err = fmt.Errorf("refused: %s", r.Results[0].Reason)
 		}
 		return err
 	})
