--- a/internal/cli/commander/submit_job.go
+++ b/internal/cli/commander/submit_job.go
@@ -16,8 +16,8 @@
 	"github.com/goccy/go-yaml"
 	"github.com/spf13/cobra"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/operator/handler"
 	"bamboospread/internal/operator/requester"
 	"bamboospread/internal/wire/messenger"
@@ -77,7 +77,7 @@
 	if err := s.write(cmd.OutOrStdout(), a, func(w io.Writer) { writeJob(w, a) }); err != nil {
 		return err
 	}
-	if s.wait && a.State != string(accountant.JobDone) {
+	if s.wait && a.State != string(tracker.JobDone) {
 		return ExitError{Code: ExitFailed, Err: fmt.Errorf("job %s ended %s", a.ID, a.State)}
 	}
 	return nil
@@ -111,7 +111,7 @@
 		if err != nil {
 			return a, fmt.Errorf("wait for job %s: %w", id, err)
 		}
-		if accountant.JobState(a.State).Final() {
+		if tracker.JobState(a.State).Final() {
 			return a, nil
 		}
 		select {
--- a/internal/job/planner/advise.go
+++ b/internal/job/planner/advise.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of requests for advice.
@@ -19,8 +19,8 @@
 
 // AdviceRequest is a request to the advising service for tickets for a step.
 type AdviceRequest struct {
-	Step *accountant.Step
-	VMs  []*accountant.VM
+	Step *tracker.Step
+	VMs  []*tracker.VM
 }
 
 // NextAdviceRequest returns the most urgent request for the advising service, if there is one:
@@ -53,7 +53,7 @@
 	return AdviceRequest{}, false
 }
 
-func selectVMs(s *accountant.Step, candidates []*vmState) []*accountant.VM {
+func selectVMs(s *tracker.Step, candidates []*vmState) []*tracker.VM {
 	sort.Slice(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
 		_, askedA := s.Tickets[a.vm.Name]
@@ -66,7 +66,7 @@
 		}
 		return a.vm.Name < b.vm.Name
 	})
-	var vms []*accountant.VM
+	var vms []*tracker.VM
 	for _, m := range candidates[:min(len(candidates), maxVMsPerRequest)] {
 		vms = append(vms, m.vm)
 	}
--- a/internal/job/planner/advise_test.go
+++ b/internal/job/planner/advise_test.go
@@ -4,26 +4,26 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // Tasks of an advised queue start only with a ticket that is valid for the VM, the current
 // incarnation of its worker, and the present time.
 func TestAdvisedQueue(t *testing.T) {
-	good := accountant.Ticket{Text: "t", Incarnation: "1", Until: begin.Add(time.Second)}
+	good := tracker.Ticket{Text: "t", Incarnation: "1", Until: begin.Add(time.Second)}
 	tests := []struct {
 		name      string
-		tickets   map[string]accountant.Ticket
+		tickets   map[string]tracker.Ticket
 		starts    int
 		requested int // VMs named in the request
 	}{
 		{"no request yet", nil, 0, 2},
-		{"a ticket for one VM", map[string]accountant.Ticket{"one": good}, 2, 0},
-		{"of an earlier incarnation", map[string]accountant.Ticket{"one": {Text: "t", Incarnation: "0", Until: good.Until}}, 0, 2},
-		{"expired", map[string]accountant.Ticket{"one": {Text: "t", Incarnation: "1", Until: begin}}, 0, 2},
-		{"about to expire", map[string]accountant.Ticket{"one": {Text: "t", Incarnation: "1", Until: begin.Add(ticketMargin / 2)}}, 2, 2},
-		{"refused", map[string]accountant.Ticket{"one": {Incarnation: "1"}, "two": {Incarnation: "1"}}, 0, 2},
+		{"a ticket for one VM", map[string]tracker.Ticket{"one": good}, 2, 0},
+		{"of an earlier incarnation", map[string]tracker.Ticket{"one": {Text: "t", Incarnation: "0", Until: good.Until}}, 0, 2},
+		{"expired", map[string]tracker.Ticket{"one": {Text: "t", Incarnation: "1", Until: begin}}, 0, 2},
+		{"about to expire", map[string]tracker.Ticket{"one": {Text: "t", Incarnation: "1", Until: begin.Add(ticketMargin / 2)}}, 2, 2},
+		{"refused", map[string]tracker.Ticket{"one": {Incarnation: "1"}, "two": {Incarnation: "1"}}, 0, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 		b.vm(name, "in", "r1", cores(8)).WorkerID = "i-" + name
 	}
 	j := b.job("q", specifier.Step{Count: 1, Needs: cores(1)})
-	j.Occurrences[0].Steps[0].Tickets = map[string]accountant.Ticket{"one": {Incarnation: "1"}}
+	j.Occurrences[0].Steps[0].Tickets = map[string]tracker.Ticket{"one": {Incarnation: "1"}}
 	q, _ := NextAdviceRequest(Input{Now: begin, State: b.state})
 	if len(q.VMs) != 2 || q.VMs[0].Name != "two" {
 		t.Errorf("request names %v", q.VMs)
--- a/internal/job/planner/bench_test.go
+++ b/internal/job/planner/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // busyFleet returns a fleet at its peak: five long-running, four best-effort and four urgent
@@ -16,10 +16,10 @@
 func busyFleet(vms int) (Input, *fixture) {
 	b := newFixture(specifier.Queue{Name: "q", Slack: 2, MaxFailures: 3, Priority: 2}, specifier.Queue{Name: "urgent", Slack: 1.5, MaxFailures: 4})
 	known := trainedLearner(map[string][]string{"l0": {"f0"}, "l1": {"f1", "f2"}, "l2": {"f3"}}, "f0", "f1", "f2", "f3", "f4", "f5")
-	run := func(j *accountant.Job, vm *accountant.VM) {
+	run := func(j *tracker.Job, vm *tracker.VM) {
 		for _, t := range j.Occurrences[0].Steps[0].Tasks {
 			r := b.state.Place(t, vm, 1, begin.Add(-time.Minute))
-			r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
+			r.State, r.StartedAt, r.Progress, r.Measure = tracker.Running, begin.Add(-time.Minute), 100, 8
 		}
 	}
 	for n := range vms {
@@ -116,7 +116,7 @@
 			vm := in.State.VMs[fmt.Sprintf("vm-%03d", n)]
 			j := fleet.job("q", specifier.Step{Count: 1, Needs: specifier.Resources{CPUMillis: 7000, MemoryMB: 1000}, LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
 			r := in.State.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin.Add(-time.Minute))
-			r.State, r.StartedAt, r.Progress = accountant.Running, begin.Add(-time.Minute), 100
+			r.State, r.StartedAt, r.Progress = tracker.Running, begin.Add(-time.Minute), 100
 		}
 		for n := range 20 {
 			j := fleet.job("q", specifier.Step{Count: 24, Needs: cores(10), LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", n%3)})
@@ -159,7 +159,7 @@
 			for k := range 5 {
 				j := fleet.job("q", specifier.Step{Count: 1, Needs: cores(10), LongRunning: true, TailMillis: 18, Image: fmt.Sprint("l", (n*7+k*3)%longRunningImages)})
 				r := fleet.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin.Add(-time.Minute))
-				r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
+				r.State, r.StartedAt, r.Progress, r.Measure = tracker.Running, begin.Add(-time.Minute), 100, 8
 			}
 		}
 		for n := range images {
--- a/internal/job/planner/cache.go
+++ b/internal/job/planner/cache.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Cache caches results between rounds that are expensive to compute and change little: the
@@ -47,7 +47,7 @@
 
 // storeNeighbours caches the headroom of the long-running tasks of a VM before the round
 // places anything there.
-func (c *Cache) storeNeighbours(vm *accountant.VM, now time.Time, all []neighbour) {
+func (c *Cache) storeNeighbours(vm *tracker.VM, now time.Time, all []neighbour) {
 	if c == nil {
 		return
 	}
--- a/internal/job/planner/cache_test.go
+++ b/internal/job/planner/cache_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // A round with a cache must place tasks like one that computes everything anew, also right
@@ -27,7 +27,7 @@
 		}
 		for _, s := range starts {
 			r := b.state.Place(s.Task, s.VM, s.Number, now)
-			r.State, r.StartedAt = accountant.Running, now
+			r.State, r.StartedAt = tracker.Running, now
 		}
 	}
 }
--- a/internal/job/planner/copies.go
+++ b/internal/job/planner/copies.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of second copies of a task. Copies cover two cases: a task that may have copies on a
@@ -49,7 +49,7 @@
 }
 
 // needsCopy reports whether the first run of a task is a straggler and another run may start.
-func needsCopy(t *accountant.Task, now time.Time) bool {
+func needsCopy(t *tracker.Task, now time.Time) bool {
 	if t.Done || len(t.Runs) == 0 || len(t.Runs) >= maxConcurrentRuns || t.NotBefore.After(now) {
 		return false
 	}
@@ -61,12 +61,12 @@
 	return isStraggler(t.Runs[0])
 }
 
-func isStraggler(run *accountant.Run) bool {
+func isStraggler(run *tracker.Run) bool {
 	spec := run.Step().Spec
-	if !run.VM.Attached || run.State == accountant.Stopping {
+	if !run.VM.Attached || run.State == tracker.Stopping {
 		return true
 	}
-	if run.State != accountant.Running || spec.EstimateMillis <= 0 || run.Pace != paceFull {
+	if run.State != tracker.Running || spec.EstimateMillis <= 0 || run.Pace != paceFull {
 		return false
 	}
 	declared := spec.Estimate()
--- a/internal/job/planner/copies_test.go
+++ b/internal/job/planner/copies_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // newCopyFixture returns a step of one task that may have copies, running on vm-1, and free
 // capacity on vm-2.
-func newCopyFixture(t *testing.T, change func(*specifier.Step)) (*fixture, *accountant.Task) {
+func newCopyFixture(t *testing.T, change func(*specifier.Step)) (*fixture, *tracker.Task) {
 	t.Helper()
 	b := newFixture()
 	b.vm("vm-1", "in", "r1", cores(4))
@@ -34,9 +34,9 @@
 // begin.
 func (b *fixture) reportProgress(percent int, after time.Duration) time.Time {
 	vm := b.state.VMs["vm-1"]
-	rep := accountant.Report{Incarnation: "1", Ready: true, OrdersSeen: vm.OrderSeq}
+	rep := tracker.Report{Incarnation: "1", Ready: true, OrdersSeen: vm.OrderSeq}
 	for key := range vm.Runs {
-		rep.Runs = append(rep.Runs, accountant.ReportedRun{Key: key, Confirmed: true, Progress: percent})
+		rep.Runs = append(rep.Runs, tracker.ReportedRun{Key: key, Confirmed: true, Progress: percent})
 	}
 	now := begin.Add(after)
 	b.state.Apply(vm, rep, now)
@@ -106,8 +106,8 @@
 	if stopped := b.state.Unwanted(); len(stopped) != 0 {
 		t.Fatalf("%d copies are stopped before one has ended", len(stopped))
 	}
-	b.state.EndRun(second.VM, second.Key(), accountant.EndDone, "", now)
-	if !task.Done || task.Step.Occurrence.Job.State != accountant.JobDone {
+	b.state.EndRun(second.VM, second.Key(), tracker.EndDone, "", now)
+	if !task.Done || task.Step.Occurrence.Job.State != tracker.JobDone {
 		t.Error("the task is not done")
 	}
 	if stopped := b.state.Unwanted(); len(stopped) != 1 || stopped[0] != first {
--- a/internal/job/planner/defragment.go
+++ b/internal/job/planner/defragment.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // maxMoveSearches is for how many steps a round searches for a move that frees capacity: on a full
@@ -35,21 +35,21 @@
 }
 
 // waitingOverdueFirst returns the waiting steps, those with overdue tasks first.
-func (r *round) waitingOverdueFirst() (steps []*accountant.Step) {
+func (r *round) waitingOverdueFirst() (steps []*tracker.Step) {
 	waiting := order(r.in, r.in.State.WaitingSteps(r.now))
-	seen := make(map[*accountant.Step]bool)
+	seen := make(map[*tracker.Step]bool)
 	for _, t := range r.overdueTasks(waiting) {
 		if !seen[t.Step] {
 			seen[t.Step] = true
 			steps = append(steps, t.Step)
 		}
 	}
-	return append(steps, slices.DeleteFunc(waiting, func(s *accountant.Step) bool { return seen[s] })...)
+	return append(steps, slices.DeleteFunc(waiting, func(s *tracker.Step) bool { return seen[s] })...)
 }
 
 // findFreeingMove finds the smallest long-running run that can move to another VM and in whose
 // place a task of the step fits.
-func (r *round) findFreeingMove(s *accountant.Step, count map[*accountant.VM]int, ongoing movesInProgress) (best Move, ok bool) {
+func (r *round) findFreeingMove(s *tracker.Step, count map[*tracker.VM]int, ongoing movesInProgress) (best Move, ok bool) {
 	for _, m := range r.vmStates {
 		if ongoing.vms[m.vm.Name] {
 			continue
@@ -75,7 +75,7 @@
 }
 
 // destinationFor returns another VM with enough free capacity for a long-running run, or nil.
-func (r *round) destinationFor(run *accountant.Run, from *vmState) *vmState {
+func (r *round) destinationFor(run *tracker.Run, from *vmState) *vmState {
 	s := run.Step()
 	count := r.runCounts(s)
 	for _, m := range r.vmStates {
--- a/internal/job/planner/demand.go
+++ b/internal/job/planner/demand.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
+	"bamboospread/internal/job/tracker"
 )
 
 // The long-running tasks of a VM determine which best-effort images may use its idle
@@ -81,10 +81,10 @@
 // imageCounts is the number of long-running tasks of each image on a VM.
 type imageCounts map[string]int
 
-func countImages(vm *accountant.VM) imageCounts {
+func countImages(vm *tracker.VM) imageCounts {
 	c := make(imageCounts)
 	for _, run := range vm.Runs {
-		if s := run.Step().Spec; s.LongRunning && run.State != accountant.Stopping {
+		if s := run.Step().Spec; s.LongRunning && run.State != tracker.Stopping {
 			c[s.Image]++
 		}
 	}
@@ -128,7 +128,7 @@
 }
 
 // addLongRunning adds a long-running task to a VM.
-func (m *vmState) addLongRunning(s *accountant.Step) {
+func (m *vmState) addLongRunning(s *tracker.Step) {
 	m.images = m.imageCounts().adjusted(s.Spec.Image, 1)
 	m.free = m.free.Sub(s.Spec.Committed())
 	m.longRunning++
@@ -136,7 +136,7 @@
 }
 
 // removeLongRunning removes a long-running task from a VM.
-func (m *vmState) removeLongRunning(s *accountant.Step) {
+func (m *vmState) removeLongRunning(s *tracker.Step) {
 	m.images = m.imageCounts().adjusted(s.Spec.Image, -1)
 	m.free = m.free.Add(s.Spec.Committed())
 	m.longRunning--
@@ -146,7 +146,7 @@
 // servedLoss returns how much best-effort demand would no longer be served if a long-running
 // task started on a VM, rounded to whole cores, so that other criteria decide where the loss
 // is small.
-func (r *round) servedLoss(m *vmState, s *accountant.Step) float64 {
+func (r *round) servedLoss(m *vmState, s *tracker.Step) float64 {
 	d := r.demandModel()
 	if len(d.images) == 0 {
 		return 0
--- a/internal/job/planner/evict.go
+++ b/internal/job/planner/evict.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of evictions. They cover loads under which best-effort tasks are throttled almost to
@@ -26,9 +26,9 @@
 )
 
 // Evictions returns the best-effort runs to stop so that they continue on other VMs.
-func Evictions(in Input) []*accountant.Run {
+func Evictions(in Input) []*tracker.Run {
 	r := newRound(in)
-	var starvedRuns []*accountant.Run
+	var starvedRuns []*tracker.Run
 	for _, vm := range in.State.VMs {
 		for _, run := range vm.Runs {
 			if r.starved(run) {
@@ -41,7 +41,7 @@
 	}
 	slices.SortFunc(starvedRuns, byLostWork)
 	r.loadVMs()
-	var evicted []*accountant.Run
+	var evicted []*tracker.Run
 	for _, run := range starvedRuns {
 		if len(evicted) == maxEvictions {
 			break
@@ -61,22 +61,22 @@
 
 // starved reports whether a run has been throttled almost to zero for at least starvedFor and
 // a stop loses little work.
-func (r *round) starved(run *accountant.Run) bool {
+func (r *round) starved(run *tracker.Run) bool {
 	s := run.Step()
-	return s.Spec.BestEffort && !s.Spec.Gang && run.State == accountant.Running && run.VM.Attached &&
-		run.Pace != accountant.PaceUnknown && run.Pace <= starvedPace && r.now.Sub(run.PacedAt) >= starvedFor &&
+	return s.Spec.BestEffort && !s.Spec.Gang && run.State == tracker.Running && run.VM.Attached &&
+		run.Pace != tracker.PaceUnknown && run.Pace <= starvedPace && r.now.Sub(run.PacedAt) >= starvedFor &&
 		len(run.Task.Runs) == 1 && lostWork(run) <= maxLostWork
 }
 
 // lostWork is how much of a run's work a stop discards.
-func lostWork(run *accountant.Run) time.Duration {
+func lostWork(run *tracker.Run) time.Duration {
 	if run.Step().Spec.Checkpoints {
 		return 0
 	}
 	return run.Step().Spec.Estimate() * time.Duration(run.Progress) / paceFull
 }
 
-func byLostWork(a, b *accountant.Run) int {
+func byLostWork(a, b *tracker.Run) int {
 	if d := lostWork(a) - lostWork(b); d != 0 {
 		return int(d)
 	}
@@ -88,6 +88,6 @@
 
 // hasIdleFor reports whether a best-effort task would get most of the processors that it asks
 // for.
-func (m *vmState) hasIdleFor(s *accountant.Step) bool {
+func (m *vmState) hasIdleFor(s *tracker.Step) bool {
 	return float64(m.bestEffortCPU+s.Spec.Needs.CPUMillis) <= m.idle()
 }
--- a/internal/job/planner/explain.go
+++ b/internal/job/planner/explain.go
@@ -5,11 +5,11 @@
 	"sort"
 	"strings"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Explain returns why tasks of a step wait.
-func Explain(in Input, s *accountant.Step) string {
+func Explain(in Input, s *tracker.Step) string {
 	j := s.Occurrence.Job
 	switch {
 	case j.State.Final():
@@ -38,7 +38,7 @@
 }
 
 // rejectReason returns why a VM does not accept a task of the step now.
-func (r *round) rejectReason(in Input, vm *accountant.VM, s *accountant.Step) string {
+func (r *round) rejectReason(in Input, vm *tracker.VM, s *tracker.Step) string {
 	switch {
 	case !vm.Attached:
 		return "not connected"
--- a/internal/job/planner/interference.go
+++ b/internal/job/planner/interference.go
@@ -4,9 +4,9 @@
 	"math"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 const (
@@ -25,7 +25,7 @@
 )
 
 // ObserveReport passes the measurements of a VM's report to the learner.
-func ObserveReport(l *learner.Learner, vm *accountant.VM, now time.Time) {
+func ObserveReport(l *learner.Learner, vm *tracker.VM, now time.Time) {
 	var use learner.Use
 	for _, r := range vm.Runs {
 		if !hasMeasuredTail(r) || r.Step().Spec.Image == "" || now.Sub(r.StartedAt) < warmUp {
@@ -40,24 +40,24 @@
 
 // hasMeasuredTail reports whether a run of a long-running task with a tail latency target is
 // serving.
-func hasMeasuredTail(r *accountant.Run) bool {
+func hasMeasuredTail(r *tracker.Run) bool {
 	s := r.Step().Spec
-	return s.LongRunning && s.TailMillis > 0 && r.State == accountant.Running && r.Progress >= paceFull
+	return s.LongRunning && s.TailMillis > 0 && r.State == tracker.Running && r.Progress >= paceFull
 }
 
 // headroom is the target of a long-running task divided by its tail latency.
-func headroom(r *accountant.Run) float64 {
+func headroom(r *tracker.Run) float64 {
 	return float64(r.Step().Spec.TailMillis) / math.Max(float64(r.Measure), 1)
 }
 
 // groupName identifies the long-running tasks that serve the same users: those of one step.
-func groupName(r *accountant.Run) string { return r.Step().Name() }
+func groupName(r *tracker.Run) string { return r.Step().Name() }
 
 // measuredUse is the use of the best-effort tasks of a VM by their latest measurements.
-func measuredUse(vm *accountant.VM) learner.Use {
+func measuredUse(vm *tracker.VM) learner.Use {
 	use := make(learner.Use)
 	for _, r := range vm.Runs {
-		if s := r.Step().Spec; s.BestEffort && r.State != accountant.Ordered {
+		if s := r.Step().Spec; s.BestEffort && r.State != tracker.Ordered {
 			use[s.Image] += float64(r.Measure) / float64(max(vm.Capacity.CPUMillis, 1))
 		}
 	}
@@ -65,9 +65,9 @@
 }
 
 // fullPaceUse is the use of a best-effort run at full pace, as a share of its VM.
-func fullPaceUse(r *accountant.Run, now time.Time) float64 {
+func fullPaceUse(r *tracker.Run, now time.Time) float64 {
 	millis := float64(r.Step().Spec.Needs.CPUMillis) * bestEffortUtilization
-	if r.State == accountant.Running && now.Sub(r.StartedAt) >= warmUp && r.Pace == paceFull && r.Measure > 0 {
+	if r.State == tracker.Running && now.Sub(r.StartedAt) >= warmUp && r.Pace == paceFull && r.Measure > 0 {
 		millis = float64(r.Measure)
 	}
 	return millis / float64(max(r.VM.Capacity.CPUMillis, 1))
@@ -75,10 +75,10 @@
 
 // expectedUse is the use of the best-effort tasks of a VM at full pace, including those just
 // ordered to start.
-func expectedUse(vm *accountant.VM, now time.Time) learner.Use {
+func expectedUse(vm *tracker.VM, now time.Time) learner.Use {
 	use := make(learner.Use)
 	for _, r := range vm.Runs {
-		if s := r.Step().Spec; s.BestEffort && r.State != accountant.Stopping {
+		if s := r.Step().Spec; s.BestEffort && r.State != tracker.Stopping {
 			use[s.Image] += fullPaceUse(r, now)
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 // interference predicts the effect of another best-effort task of the step on a VM.
-func (r *round) interference(m *vmState, s *accountant.Step) interference {
+func (r *round) interference(m *vmState, s *tracker.Step) interference {
 	d := interference{leastHeadroom: math.Inf(1)}
 	if m.longRunning == 0 || r.learner == nil {
 		return d
@@ -120,7 +120,7 @@
 	return d
 }
 
-func (r *round) neighboursOf(vm *accountant.VM) []neighbour {
+func (r *round) neighboursOf(vm *tracker.VM) []neighbour {
 	use := expectedUse(vm, r.now)
 	var all []neighbour
 	for _, run := range vm.Runs {
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of moves of long-running tasks. Moves cover a load of best-effort tasks that wait
@@ -41,15 +41,15 @@
 
 // Move is a long-running run that should be stopped and started again on another VM.
 type Move struct {
-	Run  *accountant.Run
-	To   *accountant.VM
-	For  *accountant.Step // step that gets the capacity; nil if best-effort tasks do
-	Gain float64          // thousandths of a core gained by best-effort tasks, per run of the move
+	Run  *tracker.Run
+	To   *tracker.VM
+	For  *tracker.Step // step that gets the capacity; nil if best-effort tasks do
+	Gain float64       // thousandths of a core gained by best-effort tasks, per run of the move
 }
 
 // Relocation returns the record of the move to store in its task.
-func (m Move) Relocation(now time.Time) accountant.Relocation {
-	return accountant.Relocation{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: moveHold, Until: now.Add(moveHold)}
+func (m Move) Relocation(now time.Time) tracker.Relocation {
+	return tracker.Relocation{From: m.Run.VM.Name, To: m.To.Name, For: m.For, Hold: moveHold, Until: now.Add(moveHold)}
 }
 
 // group holds the long-running runs of one image on a VM. They move together: any one that
@@ -57,7 +57,7 @@
 type group struct {
 	host      *vmState
 	image     string // empty if there is no run
-	runs      []*accountant.Run
+	runs      []*tracker.Run
 	cpu       int64     // reserved by the runs, in thousandths of a core
 	remaining []float64 // share of the VM's idle processors usable by each best-effort image without the group
 }
@@ -156,7 +156,7 @@
 		for _, run := range g.runs {
 			g.cpu += run.Step().Spec.Needs.CPUMillis
 		}
-		if !slices.ContainsFunc(g.runs, func(run *accountant.Run) bool { return !m.mayMove(run) }) {
+		if !slices.ContainsFunc(g.runs, func(run *tracker.Run) bool { return !m.mayMove(run) }) {
 			groups = append(groups, g)
 		}
 	}
@@ -236,7 +236,7 @@
 	for _, run := range leaving.runs {
 		to.removeLongRunning(run.Step())
 	}
-	joined := make(map[*accountant.Step]int)
+	joined := make(map[*tracker.Step]int)
 	for _, run := range arriving.runs {
 		s := run.Step()
 		if to.vm.Slow() || run.Task.AvoidedVMs[to.vm.Name] || !to.admits(s, runsPerVM(s)[to.vm]+joined[s]) {
@@ -251,8 +251,8 @@
 // withinMaxUnavailable reports whether the runs can stop together without more tasks of any step
 // becoming unavailable than its limit allows. Tasks that are unavailable already are not
 // counted: mayMove excludes the runs of their steps.
-func withinMaxUnavailable(lists ...[]*accountant.Run) bool {
-	moving := make(map[*accountant.Step]int)
+func withinMaxUnavailable(lists ...[]*tracker.Run) bool {
+	moving := make(map[*tracker.Step]int)
 	for _, runs := range lists {
 		for _, run := range runs {
 			s := run.Step()
@@ -276,15 +276,15 @@
 
 // movesInProgress describes the moves that have not been completed.
 type movesInProgress struct {
-	unavailable, limit int                       // long-running tasks that are unavailable by moves, and the maximum
-	vms                map[string]bool           // VMs that take part
-	steps              map[*accountant.Step]bool // steps that get the capacity
+	unavailable, limit int                    // long-running tasks that are unavailable by moves, and the maximum
+	vms                map[string]bool        // VMs that take part
+	steps              map[*tracker.Step]bool // steps that get the capacity
 }
 
 // findMovesInProgress returns the moves whose tasks are not running yet. A task that waits for
 // capacity for long does not block other moves.
 func findMovesInProgress(in Input) movesInProgress {
-	ongoing := movesInProgress{vms: make(map[string]bool), steps: make(map[*accountant.Step]bool)}
+	ongoing := movesInProgress{vms: make(map[string]bool), steps: make(map[*tracker.Step]bool)}
 	all := 0
 	for _, s := range in.State.OpenSteps() {
 		if !s.Spec.LongRunning {
@@ -307,19 +307,19 @@
 }
 
 // longRunningRunsOf returns the long-running runs of an image on a VM.
-func longRunningRunsOf(vm *accountant.VM, image string) []*accountant.Run {
-	return slices.DeleteFunc(longRunningRuns(vm), func(run *accountant.Run) bool { return run.Step().Spec.Image != image })
+func longRunningRunsOf(vm *tracker.VM, image string) []*tracker.Run {
+	return slices.DeleteFunc(longRunningRuns(vm), func(run *tracker.Run) bool { return run.Step().Spec.Image != image })
 }
 
 // longRunningRuns returns the long-running runs of a VM, sorted by key.
-func longRunningRuns(vm *accountant.VM) []*accountant.Run {
-	var runs []*accountant.Run
+func longRunningRuns(vm *tracker.VM) []*tracker.Run {
+	var runs []*tracker.Run
 	for _, run := range vm.Runs {
-		if run.Step().Spec.LongRunning && run.State != accountant.Stopping {
+		if run.Step().Spec.LongRunning && run.State != tracker.Stopping {
 			runs = append(runs, run)
 		}
 	}
-	slices.SortFunc(runs, func(a, b *accountant.Run) int {
+	slices.SortFunc(runs, func(a, b *tracker.Run) int {
 		if a.Key().Less(b.Key()) {
 			return -1
 		}
@@ -330,9 +330,9 @@
 
 // mayMove reports whether a long-running run has been running long enough, and whether its
 // step's limit of unavailable tasks allows it to stop.
-func (r *round) mayMove(run *accountant.Run) bool {
+func (r *round) mayMove(run *tracker.Run) bool {
 	if s := run.Step(); s.Spec.MaxUnavailable > 0 && s.Unavailable() > 0 {
 		return false
 	}
-	return run.State == accountant.Running && run.Progress >= paceFull && !run.Step().Spec.Gang && r.now.Sub(run.StartedAt) >= minRunTime
+	return run.State == tracker.Running && run.Progress >= paceFull && !run.Step().Spec.Gang && r.now.Sub(run.StartedAt) >= minRunTime
 }
--- a/internal/job/planner/move_test.go
+++ b/internal/job/planner/move_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // trainedLearner returns a learner that has observed which best-effort images interfere with
@@ -37,8 +37,8 @@
 // for a long time, as placed while no effects of the images were known.
 type mixedFleet struct {
 	*fixture
-	vms     []*accountant.VM
-	jobs    []*accountant.Job
+	vms     []*tracker.VM
+	jobs    []*tracker.Job
 	learner *learner.Learner
 }
 
@@ -58,13 +58,13 @@
 }
 
 // run places a task on a VM as running.
-func (f *mixedFleet) run(t *accountant.Task, vm *accountant.VM) {
+func (f *mixedFleet) run(t *tracker.Task, vm *tracker.VM) {
 	r := f.state.Place(t, vm, f.state.NextNumber(t), begin.Add(-time.Minute))
-	r.State, r.StartedAt, r.Progress, r.Measure = accountant.Running, begin.Add(-time.Minute), 100, 8
+	r.State, r.StartedAt, r.Progress, r.Measure = tracker.Running, begin.Add(-time.Minute), 100, 8
 }
 
 // submitBestEffort adds a job of waiting best-effort tasks of an image.
-func (f *mixedFleet) submitBestEffort(image string) *accountant.Job {
+func (f *mixedFleet) submitBestEffort(image string) *tracker.Job {
 	return f.job("q", specifier.Step{Count: 8, Needs: cores(4), EstimateMillis: 2000, BestEffort: true, Image: image})
 }
 
@@ -73,9 +73,9 @@
 }
 
 // fail ends a run of the first VM.
-func (f *mixedFleet) fail() *accountant.Task {
+func (f *mixedFleet) fail() *tracker.Task {
 	r := longRunningRuns(f.vms[0])[0]
-	f.state.EndRun(f.vms[0], r.Key(), accountant.EndFailed, "", begin)
+	f.state.EndRun(f.vms[0], r.Key(), tracker.EndFailed, "", begin)
 	return r.Task
 }
 
@@ -83,7 +83,7 @@
 func (f *mixedFleet) move(moves []Move) {
 	for _, m := range moves {
 		t := m.Run.Task
-		f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
+		f.state.EndRun(m.Run.VM, m.Run.Key(), tracker.EndStopped, "", begin)
 		f.run(t, m.To)
 	}
 }
@@ -153,10 +153,10 @@
 		}, false},
 		{"one has failed", func(f *mixedFleet) { f.fail() }, true},
 		{"one moves and is not running yet", func(f *mixedFleet) {
-			f.fail().Relocation = accountant.Relocation{To: "2", Until: begin.Add(moveHold)}
+			f.fail().Relocation = tracker.Relocation{To: "2", Until: begin.Add(moveHold)}
 		}, false},
 		{"one has moved and is running", func(f *mixedFleet) {
-			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Relocation = accountant.Relocation{To: "1", Until: begin.Add(moveHold)}
+			f.jobs[0].Occurrences[0].Steps[0].Tasks[0].Relocation = tracker.Relocation{To: "1", Until: begin.Add(moveHold)}
 		}, true},
 		{"no other task may be unavailable", func(f *mixedFleet) {
 			for _, j := range f.jobs {
@@ -186,7 +186,7 @@
 			j.Spec.Steps[0].MaxUnavailable = unavailable
 		}
 		f.submitBestEffort("x")
-		moving := make(map[*accountant.Step]int)
+		moving := make(map[*tracker.Step]int)
 		for range 6 {
 			clear(moving)
 			moves := f.moves()
@@ -210,8 +210,8 @@
 	f.vm("spare", "in", "r1", cores(32))
 	run := longRunningRunsOf(f.vms[0], "a")[0]
 	task := run.Task
-	task.Relocation = accountant.Relocation{To: f.vms[1].Name, Until: begin.Add(moveHold)}
-	f.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", begin)
+	task.Relocation = tracker.Relocation{To: f.vms[1].Name, Until: begin.Add(moveHold)}
+	f.state.EndRun(run.VM, run.Key(), tracker.EndStopped, "", begin)
 	if got := f.plan(begin); len(got) != 0 {
 		t.Fatalf("starts on %s while its place is taken", got[0].VM.Name)
 	}
@@ -219,7 +219,7 @@
 		t.Fatalf("%d tasks start after the wait", len(got))
 	}
 	other := longRunningRunsOf(f.vms[1], "b")[0]
-	f.state.EndRun(other.VM, other.Key(), accountant.EndStopped, "", begin)
+	f.state.EndRun(other.VM, other.Key(), tracker.EndStopped, "", begin)
 	other.Task.NotBefore = begin.Add(time.Hour)
 	if got := f.plan(begin); len(got) != 1 || got[0].VM != f.vms[1] {
 		t.Errorf("starts %v, want %s", vmsByTask(got), f.vms[1].Name)
@@ -254,13 +254,13 @@
 	tests := []struct {
 		name        string
 		unavailable int
-		runs        []*accountant.Run
+		runs        []*tracker.Run
 		want        bool
 	}{
-		{"two of one job, no limit", 0, []*accountant.Run{a0, a1}, true},
-		{"two of one job, one may be unavailable", 1, []*accountant.Run{a0, a1}, false},
-		{"two of one job, two may be unavailable", 2, []*accountant.Run{a0, a1}, true},
-		{"one each of two jobs, one may be unavailable", 1, []*accountant.Run{a0, b0}, true},
+		{"two of one job, no limit", 0, []*tracker.Run{a0, a1}, true},
+		{"two of one job, one may be unavailable", 1, []*tracker.Run{a0, a1}, false},
+		{"two of one job, two may be unavailable", 2, []*tracker.Run{a0, a1}, true},
+		{"one each of two jobs, one may be unavailable", 1, []*tracker.Run{a0, b0}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -311,7 +311,7 @@
 					}
 					from[m.Run.VM.Name], from[m.To.Name] = true, true
 					f.state.SetRelocation(m.Run.Task, m.Relocation(begin), begin)
-					f.state.EndRun(m.Run.VM, m.Run.Key(), accountant.EndStopped, "", begin)
+					f.state.EndRun(m.Run.VM, m.Run.Key(), tracker.EndStopped, "", begin)
 					unavailable++
 				}
 				for vm := range from {
@@ -347,7 +347,7 @@
 	if got := b.plan(late); len(got) != 0 {
 		t.Fatalf("%d tasks start on the capacity of the move", len(got))
 	}
-	b.state.EndRun(from, run.Key(), accountant.EndStopped, "", late)
+	b.state.EndRun(from, run.Key(), tracker.EndStopped, "", late)
 	want := map[string]string{mover.ID().String(): "to", next.ID().String(): "from"}
 	if diff := cmp.Diff(want, vmsByTask(b.plan(late))); diff != "" {
 		t.Error(diff)
--- a/internal/job/planner/order.go
+++ b/internal/job/planner/order.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // urgency is how much a caller still gains from a job.
@@ -17,7 +17,7 @@
 )
 
 type ranked struct {
-	step     *accountant.Step
+	step     *tracker.Step
 	priority int
 	urgency  urgency
 	left     float64 // share of the work that is not done
@@ -28,7 +28,7 @@
 // before long-running ones, then by the share of work left, so that jobs that are nearly done
 // come first, whatever their size. Under a backlog, an order by deadlines alone would start
 // all jobs a little and complete none in time.
-func order(in Input, steps []*accountant.Step) []*accountant.Step {
+func order(in Input, steps []*tracker.Step) []*tracker.Step {
 	list := make([]ranked, len(steps))
 	for i, s := range steps {
 		list[i] = rank(in, s)
@@ -54,7 +54,7 @@
 	return steps
 }
 
-func rank(in Input, s *accountant.Step) ranked {
+func rank(in Input, s *tracker.Step) ranked {
 	o := s.Occurrence
 	q := o.Job.Queue
 	chain := longestChains(o)
@@ -84,7 +84,7 @@
 }
 
 // longestChains returns the lengths of the longest dependency chains of an occurrence.
-func longestChains(o *accountant.Occurrence) chainLengths {
+func longestChains(o *tracker.Occurrence) chainLengths {
 	var c chainLengths
 	total := make([]time.Duration, len(o.Steps))
 	left := make([]time.Duration, len(o.Steps))
--- a/internal/job/planner/pace.go
+++ b/internal/job/planner/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of throttling by measured tail latency, the last resort. A long-running task that is
@@ -21,7 +21,7 @@
 
 // Pace is a new pace for a run.
 type Pace struct {
-	Run     *accountant.Run
+	Run     *tracker.Run
 	Percent int
 }
 
@@ -44,7 +44,7 @@
 }
 
 // observe updates the throttling state of a VM and returns it.
-func observe(vm *accountant.VM, now time.Time) *accountant.ThrottleState {
+func observe(vm *tracker.VM, now time.Time) *tracker.ThrottleState {
 	state := &vm.Throttle
 	if state.ChangedAt.IsZero() {
 		state.Percent, state.ChangedAt = paceFull, now
@@ -71,7 +71,7 @@
 	return state
 }
 
-func raisePace(state *accountant.ThrottleState, now time.Time) {
+func raisePace(state *tracker.ThrottleState, now time.Time) {
 	if state.Percent == paceFull || now.Sub(state.UnderSince) < paceRaiseAfter || now.Sub(state.ChangedAt) < paceRaiseAfter {
 		return
 	}
@@ -85,16 +85,16 @@
 	}
 }
 
-func setPace(state *accountant.ThrottleState, percent int, now time.Time) {
+func setPace(state *tracker.ThrottleState, percent int, now time.Time) {
 	if state.Percent != percent {
 		state.Percent, state.ChangedAt = percent, now
 	}
 }
 
-func tailOverTarget(vm *accountant.VM) bool {
+func tailOverTarget(vm *tracker.VM) bool {
 	for _, r := range vm.Runs {
 		s := r.Step().Spec
-		if s.LongRunning && s.TailMillis > 0 && r.State == accountant.Running && r.Measure > s.TailMillis {
+		if s.LongRunning && s.TailMillis > 0 && r.State == tracker.Running && r.Measure > s.TailMillis {
 			return true
 		}
 	}
--- a/internal/job/planner/pace_test.go
+++ b/internal/job/planner/pace_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // overTargetBound is how long without interruption a long-running task may be over its target
@@ -13,7 +13,7 @@
 const overTargetBound = 4*time.Second - 100*time.Millisecond
 
 // newPacedFixture returns a VM with a long-running and a best-effort task.
-func newPacedFixture() (b *fixture, longRunning, bestEffort *accountant.Run) {
+func newPacedFixture() (b *fixture, longRunning, bestEffort *tracker.Run) {
 	b = newFixture()
 	vm := b.vm("vm", "in", "r1", cores(32))
 	for i, s := range []specifier.Step{
@@ -22,7 +22,7 @@
 	} {
 		j := b.job("q", s)
 		r := b.state.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
-		r.State, r.StartedAt, r.Progress = accountant.Running, begin, 100
+		r.State, r.StartedAt, r.Progress = tracker.Running, begin, 100
 		if i == 0 {
 			longRunning = r
 		} else {
@@ -33,7 +33,7 @@
 }
 
 // replayTails applies tail latencies, one per 300 ms, and returns the pace after each.
-func replayTails(b *fixture, longRunning, bestEffort *accountant.Run, tails []int64) []int {
+func replayTails(b *fixture, longRunning, bestEffort *tracker.Run, tails []int64) []int {
 	var paces []int
 	for i, tail := range tails {
 		longRunning.Measure = tail
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -1,5 +1,5 @@
 // Package planner decides which tasks start on which VMs, and which runs to stop, move or
-// throttle. It performs no I/O: it reads the accountant's state and the time passed in, and
+// throttle. It performs no I/O: it reads the tracker's state and the time passed in, and
 // changes nothing, except that ObserveReport updates the learner, Paces updates the throttling
 // state of VMs, and rounds store results in Cache.
 package planner
@@ -9,9 +9,9 @@
 	"sort"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of placement.
@@ -35,8 +35,8 @@
 
 // Start is a task to be started on a VM.
 type Start struct {
-	Task   *accountant.Task
-	VM     *accountant.VM
+	Task   *tracker.Task
+	VM     *tracker.VM
 	Number int64 // of the run
 	Ticket string
 	Copy   bool // another run of the task continues
@@ -45,7 +45,7 @@
 // Input is the input of a planning round.
 type Input struct {
 	Now     time.Time
-	State   *accountant.Accountant
+	State   *tracker.Tracker
 	Learner *learner.Learner // nil if no effects of images are known
 	// UrgentDelayedAt is when an urgent task last had waited too long for capacity.
 	UrgentDelayedAt time.Time
@@ -55,7 +55,7 @@
 
 // vmState is the capacity of a VM during a round, after the tasks placed in the round.
 type vmState struct {
-	vm              *accountant.VM
+	vm              *tracker.VM
 	now             time.Time
 	free            specifier.Resources
 	bestEffortCPU   int64
@@ -67,7 +67,7 @@
 	neighbours []neighbour
 	images     imageCounts // of the long-running tasks; nil until it is needed
 	// reserved holds the tasks with reserved capacity on the VM, which free does not include.
-	reserved         map[*accountant.Task]bool
+	reserved         map[*tracker.Task]bool
 	releasesKnown    bool                // whether stopping and ending are set
 	stopping, ending specifier.Resources // resources of the runs that are being stopped, and of the others that are not long-running
 }
@@ -75,25 +75,25 @@
 type round struct {
 	in          Input
 	now         time.Time
-	state       *accountant.Accountant
+	state       *tracker.Tracker
 	learner     *learner.Learner
 	vmStates    []*vmState
 	effects     map[imagePair]float64 // cautious effects, looked up once
-	counts      map[*accountant.Step]map[*accountant.VM]int
+	counts      map[*tracker.Step]map[*tracker.VM]int
 	unplaceable map[placementClass]specifier.Resources // smallest needs of each class that fit on no VM
 	demand      *demandModel                           // nil until it is needed
 	fleetUsable []float64                              // usable by each best-effort image on all VMs at the start of the round
 	fleetServed float64                                // best-effort demand served by it
 	// stopped holds the runs that the round stops for long-running tasks, and preempted the
 	// number of these tasks.
-	stopped               map[*accountant.Run]bool
+	stopped               map[*tracker.Run]bool
 	preempted             int
-	reservationsRequested int                       // tasks that reservations were requested for
-	reservedSteps         map[*accountant.Step]bool // steps with a reservation for one of their tasks
+	reservationsRequested int                    // tasks that reservations were requested for
+	reservedSteps         map[*tracker.Step]bool // steps with a reservation for one of their tasks
 }
 
 func newRound(in Input) *round {
-	return &round{in: in, now: in.Now, state: in.State, learner: in.Learner, effects: make(map[imagePair]float64), counts: make(map[*accountant.Step]map[*accountant.VM]int), unplaceable: make(map[placementClass]specifier.Resources), stopped: make(map[*accountant.Run]bool), reservedSteps: make(map[*accountant.Step]bool)}
+	return &round{in: in, now: in.Now, state: in.State, learner: in.Learner, effects: make(map[imagePair]float64), counts: make(map[*tracker.Step]map[*tracker.VM]int), unplaceable: make(map[placementClass]specifier.Resources), stopped: make(map[*tracker.Run]bool), reservedSteps: make(map[*tracker.Step]bool)}
 }
 
 // loadVMs adds the usable VMs, sorted by name.
@@ -109,7 +109,7 @@
 	r.reserveForMoves()
 }
 
-func newVMState(vm *accountant.VM, now time.Time) *vmState {
+func newVMState(vm *tracker.VM, now time.Time) *vmState {
 	return &vmState{vm: vm, now: now, free: vm.Capacity.Sub(vm.Committed), bestEffortCPU: vm.BestEffortCPU, longRunning: vm.LongRunning, longRunningCPU: vm.LongRunningCPU}
 }
 
@@ -133,11 +133,11 @@
 
 // acceptsTasks reports whether any task may start on a VM. None may on a VM with a run of
 // unknown size: the VM could be overcommitted.
-func acceptsTasks(vm *accountant.VM, in Input) bool {
+func acceptsTasks(vm *tracker.VM, in Input) bool {
 	return vm.Attached && vm.Ready && vm.SizesKnown() && !vm.Quarantined(in.Now) && !in.State.Policy().ZonesOut[vm.Zone]
 }
 
-func (r *round) placeStep(s *accountant.Step) []Start {
+func (r *round) placeStep(s *tracker.Step) []Start {
 	if s.Spec.Gang {
 		return r.placeGang(s)
 	}
@@ -169,7 +169,7 @@
 }
 
 // place assigns a task to a VM and returns its start.
-func (r *round) place(t *accountant.Task, m *vmState, number int64) Start {
+func (r *round) place(t *tracker.Task, m *vmState, number int64) Start {
 	m.release(t)
 	r.assign(m, t.Step.Spec)
 	r.runCounts(t.Step)[m.vm]++
@@ -183,13 +183,13 @@
 // knownUnplaceable reports whether a step needs at least as much as one of its class that fit
 // on no VM in this round. Under a backlog this is true of most waiting steps, and the owner
 // would spend its processor time on checking all VMs for each of them.
-func (r *round) knownUnplaceable(s *accountant.Step) bool {
+func (r *round) knownUnplaceable(s *tracker.Step) bool {
 	least, ok := r.unplaceable[placementClass{s.Occurrence.Job.Queue.Name, s.Spec.Image}]
 	return ok && plainBestEffort(s) && s.Spec.Needs.Fits(least)
 }
 
 // noteUnplaceable records that a task of a step fits on no VM.
-func (r *round) noteUnplaceable(s *accountant.Step) {
+func (r *round) noteUnplaceable(s *tracker.Step) {
 	if !plainBestEffort(s) {
 		return
 	}
@@ -199,12 +199,12 @@
 	}
 }
 
-func plainBestEffort(s *accountant.Step) bool {
+func plainBestEffort(s *tracker.Step) bool {
 	return s.Spec.BestEffort && !s.Spec.LongRunning && !s.Spec.Gang && s.Spec.Label == "" && s.Spec.MaxPerVM == 0 && !s.Occurrence.Job.Queue.Advised
 }
 
 // placeGang places all tasks of a gang or none: a part of the gang would only wait.
-func (r *round) placeGang(s *accountant.Step) []Start {
+func (r *round) placeGang(s *tracker.Step) []Start {
 	saved := make([]vmState, len(r.vmStates))
 	for i, m := range r.vmStates {
 		saved[i] = *m
@@ -230,12 +230,12 @@
 	return starts
 }
 
-func (r *round) start(t *accountant.Task, m *vmState, number int64) Start {
+func (r *round) start(t *tracker.Task, m *vmState, number int64) Start {
 	ticket, _ := t.Step.TicketFor(m.vm, r.now)
 	return Start{Task: t, VM: m.vm, Number: number, Ticket: ticket}
 }
 
-func (m *vmState) hasTicket(s *accountant.Step) bool {
+func (m *vmState) hasTicket(s *tracker.Step) bool {
 	_, ok := s.TicketFor(m.vm, m.now)
 	return ok
 }
@@ -243,7 +243,7 @@
 // runCounts returns the number of runs of a step on each VM, including those placed in this
 // round: waiting tasks and copies of other tasks may belong to one step, and the limit per VM
 // applies to both together.
-func (r *round) runCounts(s *accountant.Step) map[*accountant.VM]int {
+func (r *round) runCounts(s *tracker.Step) map[*tracker.VM]int {
 	count := r.counts[s]
 	if count == nil {
 		count = runsPerVM(s)
@@ -253,8 +253,8 @@
 }
 
 // runsPerVM returns the number of current runs of a step on each VM.
-func runsPerVM(s *accountant.Step) map[*accountant.VM]int {
-	count := make(map[*accountant.VM]int)
+func runsPerVM(s *tracker.Step) map[*tracker.VM]int {
+	count := make(map[*tracker.VM]int)
 	for _, t := range s.Tasks {
 		for _, run := range t.Runs {
 			count[run.VM]++
@@ -279,7 +279,7 @@
 }
 
 // choose returns the best VM for a task, or nil. VMs on which the task failed come last.
-func (r *round) choose(s *accountant.Step, t *accountant.Task, count map[*accountant.VM]int) *vmState {
+func (r *round) choose(s *tracker.Step, t *tracker.Task, count map[*tracker.VM]int) *vmState {
 	var best *vmState
 	var bestScore score
 	for _, m := range r.vmStates {
@@ -310,7 +310,7 @@
 
 // admitsTask reports whether the VM admits a task of the step, including on the capacity
 // reserved for it.
-func (m *vmState) admitsTask(s *accountant.Step, t *accountant.Task, running int) bool {
+func (m *vmState) admitsTask(s *tracker.Step, t *tracker.Task, running int) bool {
 	if !m.release(t) {
 		return m.admits(s, running)
 	}
@@ -318,7 +318,7 @@
 	return m.admits(s, running)
 }
 
-func (m *vmState) admits(s *accountant.Step, running int) bool {
+func (m *vmState) admits(s *tracker.Step, running int) bool {
 	spec := s.Spec
 	if !m.free.Fits(spec.Committed()) || !m.eligible(s, running) {
 		return false
@@ -332,7 +332,7 @@
 
 // eligible reports whether the VM would admit a task of the step if it had enough free
 // capacity.
-func (m *vmState) eligible(s *accountant.Step, running int) bool {
+func (m *vmState) eligible(s *tracker.Step, running int) bool {
 	spec := s.Spec
 	switch {
 	case !s.Occurrence.Job.Queue.RunsOn(m.vm.Service),
--- a/internal/job/planner/planner_test.go
+++ b/internal/job/planner/planner_test.go
@@ -8,9 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 var begin = time.Unix(1_000_000, 0)
@@ -22,7 +22,7 @@
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
 type fixture struct {
-	state *accountant.Accountant
+	state *tracker.Tracker
 	jobs  int
 }
 
@@ -30,15 +30,15 @@
 	if len(queues) == 0 {
 		queues = []specifier.Queue{{Name: "q", Slack: 2, MaxFailures: 3}}
 	}
-	return &fixture{state: accountant.New(accountant.Config{Policy: &specifier.Policy{Version: 1, Queues: queues, ZonesOut: map[string]bool{"out": true}}})}
+	return &fixture{state: tracker.New(tracker.Config{Policy: &specifier.Policy{Version: 1, Queues: queues, ZonesOut: map[string]bool{"out": true}}})}
 }
 
-func (b *fixture) vm(name, zone, rack string, capacity specifier.Resources, labels ...string) *accountant.VM {
-	vm, _ := b.state.Attach(accountant.VMInfo{Name: name, Zone: zone, Rack: rack, Labels: labels, Capacity: capacity}, accountant.Report{Incarnation: "1", Ready: true}, begin)
+func (b *fixture) vm(name, zone, rack string, capacity specifier.Resources, labels ...string) *tracker.VM {
+	vm, _ := b.state.Attach(tracker.VMInfo{Name: name, Zone: zone, Rack: rack, Labels: labels, Capacity: capacity}, tracker.Report{Incarnation: "1", Ready: true}, begin)
 	return vm
 }
 
-func (b *fixture) job(queue string, steps ...specifier.Step) *accountant.Job {
+func (b *fixture) job(queue string, steps ...specifier.Step) *tracker.Job {
 	b.jobs++
 	spec := &specifier.Job{ID: jobID(b.jobs), Queue: queue, Steps: steps, AcceptedMillis: begin.UnixMilli() + int64(b.jobs)}
 	b.state.AddJob(spec, time.Time{}, begin)
@@ -95,15 +95,15 @@
 func TestIneligibleVMs(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(b *fixture, vm *accountant.VM)
+		change func(b *fixture, vm *tracker.VM)
 	}{
-		{"not connected", func(b *fixture, vm *accountant.VM) { b.state.Detach(vm) }},
-		{"draining", func(b *fixture, vm *accountant.VM) { b.state.Apply(vm, accountant.Report{Incarnation: "1"}, begin) }},
-		{"quarantined", func(_ *fixture, vm *accountant.VM) { vm.Health.QuarantinedUntil = begin.Add(time.Second) }},
-		{"of another service", func(_ *fixture, vm *accountant.VM) { vm.Service = "other" }},
-		{"with a run of unknown size", func(b *fixture, vm *accountant.VM) {
-			b.state.Apply(vm, accountant.Report{Incarnation: "1", Ready: true, Runs: []accountant.ReportedRun{{
-				Key: accountant.RunKey{Task: specifier.TaskID{Job: "ended"}, Number: 1}, Confirmed: true,
+		{"not connected", func(b *fixture, vm *tracker.VM) { b.state.Detach(vm) }},
+		{"draining", func(b *fixture, vm *tracker.VM) { b.state.Apply(vm, tracker.Report{Incarnation: "1"}, begin) }},
+		{"quarantined", func(_ *fixture, vm *tracker.VM) { vm.Health.QuarantinedUntil = begin.Add(time.Second) }},
+		{"of another service", func(_ *fixture, vm *tracker.VM) { vm.Service = "other" }},
+		{"with a run of unknown size", func(b *fixture, vm *tracker.VM) {
+			b.state.Apply(vm, tracker.Report{Incarnation: "1", Ready: true, Runs: []tracker.ReportedRun{{
+				Key: tracker.RunKey{Task: specifier.TaskID{Job: "ended"}, Number: 1}, Confirmed: true,
 			}}}, begin)
 		}},
 	}
@@ -310,7 +310,7 @@
 			for job, done := range tt.done {
 				for _, task := range b.state.Jobs[jobID(job)].Occurrences[0].Steps[0].Tasks[:done] {
 					r := b.state.Place(task, vm, 1, begin)
-					b.state.EndRun(vm, r.Key(), accountant.EndDone, "", begin)
+					b.state.EndRun(vm, r.Key(), tracker.EndDone, "", begin)
 				}
 			}
 			b.completeRuns(vm, tt.runtimeRatio)
@@ -323,11 +323,11 @@
 }
 
 // completeRuns completes runs of the queue whose durations are a multiple of those declared.
-func (b *fixture) completeRuns(vm *accountant.VM, factor float64) {
+func (b *fixture) completeRuns(vm *tracker.VM, factor float64) {
 	j := b.job("batch", specifier.Step{Count: 200, Needs: cores(1), EstimateMillis: 1000})
 	for _, t := range j.Occurrences[0].Steps[0].Tasks {
 		r := b.state.Place(t, vm, 1, begin)
 		r.StartedAt = begin
-		b.state.EndRun(vm, r.Key(), accountant.EndDone, "", begin.Add(time.Duration(factor*float64(time.Second))))
+		b.state.EndRun(vm, r.Key(), tracker.EndDone, "", begin.Add(time.Duration(factor*float64(time.Second))))
 	}
 }
--- a/internal/job/planner/preempt.go
+++ b/internal/job/planner/preempt.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Preemptions returns the best-effort runs to stop for long-running tasks of queues with
 // precedence over theirs. They cover best-effort tasks that make almost no progress under a
 // backlog and hold all memory meanwhile: their processors are available to other tasks, but
 // their memory is not.
-func Preemptions(in Input) (runs []*accountant.Run) {
+func Preemptions(in Input) (runs []*tracker.Run) {
 	r := newRound(in)
 	for _, t := range r.reservationCandidates() {
 		if r.vmStates == nil {
@@ -41,7 +41,7 @@
 
 // reservationCandidates returns the tasks for which capacity may be reserved, first those that
 // were running, in the order of the time for which they have been unavailable.
-func (r *round) reservationCandidates() []*accountant.Task {
+func (r *round) reservationCandidates() []*tracker.Task {
 	steps := r.state.WaitingSteps(r.now)
 	found := r.overdueTasks(steps)
 	for _, s := range steps {
@@ -57,7 +57,7 @@
 
 // preempt returns the VM on which a task fits with the least work lost, and the runs to stop
 // there; none if runs that are already being stopped leave enough.
-func (r *round) preempt(t *accountant.Task) (best *vmState, stops []*accountant.Run) {
+func (r *round) preempt(t *tracker.Task) (best *vmState, stops []*tracker.Run) {
 	least := 0.0
 	for _, m := range r.vmStates {
 		if !r.mayReserve(t, m) {
@@ -76,7 +76,7 @@
 
 // runsToStop returns the best-effort runs of a VM to stop so that it has enough memory for a
 // task, and the cost of this: lost core-seconds and a fixed cost per run.
-func (r *round) runsToStop(t *accountant.Task, m *vmState) (stops []*accountant.Run, loss float64, ok bool) {
+func (r *round) runsToStop(t *tracker.Task, m *vmState) (stops []*tracker.Run, loss float64, ok bool) {
 	left := m.freeAfterStops()
 	for run := range r.stopped {
 		if run.VM == m.vm {
@@ -104,11 +104,11 @@
 
 // preemptible returns the best-effort runs of a VM that a task of the priority takes
 // precedence over, sorted by the work that a stop loses.
-func (r *round) preemptible(vm *accountant.VM, priority int) []*accountant.Run {
-	var runs []*accountant.Run
+func (r *round) preemptible(vm *tracker.VM, priority int) []*tracker.Run {
+	var runs []*tracker.Run
 	for _, run := range vm.Runs {
 		s := run.Step()
-		if s.Spec.BestEffort && !s.Spec.LongRunning && !s.Spec.Gang && run.State != accountant.Stopping && !r.stopped[run] && s.Occurrence.Job.Queue.Priority > priority {
+		if s.Spec.BestEffort && !s.Spec.LongRunning && !s.Spec.Gang && run.State != tracker.Stopping && !r.stopped[run] && s.Occurrence.Job.Queue.Priority > priority {
 			runs = append(runs, run)
 		}
 	}
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // Reservations of capacity. Under a backlog, long-running tasks that lost their place by a
@@ -30,7 +30,7 @@
 
 // needsReservation reports whether a long-running task has waited long enough for capacity to
 // be reserved for it.
-func (r *round) needsReservation(t *accountant.Task) bool {
+func (r *round) needsReservation(t *tracker.Task) bool {
 	after := returnAfter
 	if r.underPressure() {
 		after = returnAfterPressure
@@ -43,11 +43,11 @@
 
 // overdue reports whether a long-running task that was running has been unavailable for too
 // long.
-func (r *round) overdue(t *accountant.Task) bool { return t.HasRun && r.needsReservation(t) }
+func (r *round) overdue(t *tracker.Task) bool { return t.HasRun && r.needsReservation(t) }
 
 // placeOverdue starts the overdue long-running tasks, or reserves capacity for them.
-func (r *round) placeOverdue(steps []*accountant.Step) (starts []Start) {
-	noFit := make(map[*accountant.Step]bool) // tasks of a step need the same resources
+func (r *round) placeOverdue(steps []*tracker.Step) (starts []Start) {
+	noFit := make(map[*tracker.Step]bool) // tasks of a step need the same resources
 	for _, t := range r.overdueTasks(steps) {
 		s := t.Step
 		best := (*vmState)(nil)
@@ -67,7 +67,7 @@
 // overdueTasks returns the overdue tasks, those first that have been unavailable longest. In
 // the order of their jobs, tasks of old jobs that yield again and again would keep the others
 // from starting.
-func (r *round) overdueTasks(steps []*accountant.Step) (found []*accountant.Task) {
+func (r *round) overdueTasks(steps []*tracker.Step) (found []*tracker.Task) {
 	for _, s := range steps {
 		if !s.Spec.LongRunning {
 			continue
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(found, func(a, b *accountant.Task) int { return a.WaitSince.Compare(b.WaitSince) })
+	slices.SortStableFunc(found, func(a, b *tracker.Task) int { return a.WaitSince.Compare(b.WaitSince) })
 	return found
 }
 
@@ -107,7 +107,7 @@
 }
 
 // longestWaiting returns the task of a step that has waited longest, or nil.
-func longestWaiting(s *accountant.Step, now time.Time) (first *accountant.Task) {
+func longestWaiting(s *tracker.Step, now time.Time) (first *tracker.Task) {
 	for _, t := range s.Tasks {
 		if t.Waits(now) && (first == nil || t.WaitSince.Before(first.WaitSince)) {
 			first = t
@@ -117,9 +117,9 @@
 }
 
 // reserve sets capacity aside for a task.
-func (m *vmState) reserve(t *accountant.Task) {
+func (m *vmState) reserve(t *tracker.Task) {
 	if m.reserved == nil {
-		m.reserved = make(map[*accountant.Task]bool)
+		m.reserved = make(map[*tracker.Task]bool)
 	}
 	if m.reserved[t] {
 		return
@@ -129,7 +129,7 @@
 }
 
 // release returns the capacity reserved for a task. It reports whether there was any.
-func (m *vmState) release(t *accountant.Task) bool {
+func (m *vmState) release(t *tracker.Task) bool {
 	if !m.reserved[t] {
 		return false
 	}
@@ -140,7 +140,7 @@
 
 // reserveUnlessRotation reserves capacity for an overdue task unless another long-running task
 // is expected to free capacity for it soon.
-func (r *round) reserveUnlessRotation(t *accountant.Task) {
+func (r *round) reserveUnlessRotation(t *tracker.Task) {
 	if r.underPressure() && r.now.Sub(t.WaitSince) < returnAfterPressure+rotationWait {
 		r.reservationsRequested++
 		return
@@ -150,7 +150,7 @@
 
 // reserveFor reserves capacity for a task that fits on no VM. It uses the VM that is expected
 // to have enough first.
-func (r *round) reserveFor(t *accountant.Task) {
+func (r *round) reserveFor(t *tracker.Task) {
 	if r.reservationsRequested++; r.reservationsRequested > max(maxReservations, len(r.vmStates)/vmsPerReservation) {
 		return
 	}
@@ -162,7 +162,7 @@
 
 // bestReservation returns the VM with the smallest shortfall for a task among those on which
 // capacity may be reserved for it, or nil.
-func (r *round) bestReservation(t *accountant.Task) (best *vmState) {
+func (r *round) bestReservation(t *tracker.Task) (best *vmState) {
 	least := 0.0
 	for _, m := range r.vmStates {
 		if !r.mayReserve(t, m) {
@@ -178,7 +178,7 @@
 // mayReserve reports whether a VM would have enough for a task once the runs that end by
 // themselves have ended. A task that has not run yet may wait only for what best-effort tasks
 // hold: it has no precedence over urgent tasks for processors.
-func (r *round) mayReserve(t *accountant.Task, m *vmState) bool {
+func (r *round) mayReserve(t *tracker.Task, m *vmState) bool {
 	s := t.Step
 	if m.vm.Slow() || t.RunsOn(m.vm) || t.MovesElsewhere(m.vm.Name, r.now) || !m.eligible(s, r.runCounts(s)[m.vm]) {
 		return false
@@ -221,7 +221,7 @@
 	m.releasesKnown = true
 	for _, run := range m.vm.Runs {
 		switch {
-		case run.State == accountant.Stopping:
+		case run.State == tracker.Stopping:
 			m.stopping = m.stopping.Add(run.Step().Spec.Committed())
 		case !run.Step().Spec.LongRunning:
 			m.ending = m.ending.Add(run.Step().Spec.Committed())
--- a/internal/job/planner/reservation_test.go
+++ b/internal/job/planner/reservation_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 const (
@@ -24,12 +24,12 @@
 type overload struct {
 	*fixture
 	now  time.Time
-	ends map[*accountant.Run]time.Time
+	ends map[*tracker.Run]time.Time
 	rand *rand.Rand
 }
 
 func newOverload(b *fixture) *overload {
-	r := &overload{fixture: b, now: begin, ends: make(map[*accountant.Run]time.Time), rand: rand.New(rand.NewPCG(1, 1))}
+	r := &overload{fixture: b, now: begin, ends: make(map[*tracker.Run]time.Time), rand: rand.New(rand.NewPCG(1, 1))}
 	for range 30 {
 		r.submitUrgent()
 	}
@@ -71,7 +71,7 @@
 		}
 		for _, s := range Plan(in) {
 			run := r.state.Place(s.Task, s.VM, s.Number, r.now)
-			run.State, run.StartedAt, run.Progress = accountant.Running, r.now, 100
+			run.State, run.StartedAt, run.Progress = tracker.Running, r.now, 100
 			if spec := run.Step().Spec; !spec.LongRunning && !spec.BestEffort {
 				r.ends[run] = r.now.Add(run.Step().Spec.Estimate())
 			}
@@ -80,7 +80,7 @@
 	return 0, false
 }
 
-func (r *overload) stop(run *accountant.Run) {
+func (r *overload) stop(run *tracker.Run) {
 	r.state.Stop(run, "frees capacity for a task", r.now)
 	r.ends[run] = r.now.Add(stopTime)
 }
@@ -91,9 +91,9 @@
 			continue
 		}
 		delete(r.ends, run)
-		outcome := accountant.EndDone
-		if run.State == accountant.Stopping {
-			outcome = accountant.EndStopped
+		outcome := tracker.EndDone
+		if run.State == tracker.Stopping {
+			outcome = tracker.EndStopped
 		}
 		r.state.EndRun(run.VM, run.Key(), outcome, "", r.now)
 	}
@@ -106,7 +106,7 @@
 
 // halfFullFleet returns a fleet on which every VM runs two long-running tasks of 8 of 32 cores
 // each.
-func halfFullFleet(vms int) (*fixture, *accountant.Job) {
+func halfFullFleet(vms int) (*fixture, *tracker.Job) {
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 1.5}, specifier.Queue{Name: "best-effort", Priority: 2, Slack: 2})
 	j := b.job("long-running", specifier.Step{Count: 2 * vms, Needs: cores(8), LongRunning: true})
 	for n := range vms {
@@ -118,42 +118,42 @@
 	return b, j
 }
 
-func (b *fixture) runOn(t *accountant.Task, vm *accountant.VM) {
+func (b *fixture) runOn(t *tracker.Task, vm *tracker.VM) {
 	r := b.state.Place(t, vm, 1, begin.Add(-time.Minute))
-	r.State, r.StartedAt, r.Progress = accountant.Running, begin.Add(-time.Minute), 100
+	r.State, r.StartedAt, r.Progress = tracker.Running, begin.Add(-time.Minute), 100
 }
 
 // Guards against long-running tasks that were stopped by the owner, or lost their VM, being
 // unavailable for as long as a backlog of urgent tasks takes every gap.
 func TestLongRunningTasksReturnUnderBacklog(t *testing.T) {
-	yield := func(r *overload, task *accountant.Task) {
+	yield := func(r *overload, task *tracker.Task) {
 		run := task.Runs[0]
 		task.Yielded = true
-		r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
+		r.state.EndRun(run.VM, run.Key(), tracker.EndStopped, "", r.now)
 	}
 	tests := []struct {
 		name             string
 		starveBestEffort bool // best-effort tasks hold all memory
-		stop             func(r *overload, task *accountant.Task)
+		stop             func(r *overload, task *tracker.Task)
 		bound            time.Duration
 	}{
-		{"moved", false, func(r *overload, task *accountant.Task) {
+		{"moved", false, func(r *overload, task *tracker.Task) {
 			run := task.Runs[0]
-			r.state.SetRelocation(task, accountant.Relocation{To: "j", Until: r.now.Add(moveHold)}, r.now)
-			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
+			r.state.SetRelocation(task, tracker.Relocation{To: "j", Until: r.now.Add(moveHold)}, r.now)
+			r.state.EndRun(run.VM, run.Key(), tracker.EndStopped, "", r.now)
 		}, moveHold},
-		{"moved to a VM that was removed", false, func(r *overload, task *accountant.Task) {
+		{"moved to a VM that was removed", false, func(r *overload, task *tracker.Task) {
 			run := task.Runs[0]
-			r.state.SetRelocation(task, accountant.Relocation{To: "removed", Until: r.now.Add(moveHold)}, r.now)
-			r.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", r.now)
+			r.state.SetRelocation(task, tracker.Relocation{To: "removed", Until: r.now.Add(moveHold)}, r.now)
+			r.state.EndRun(run.VM, run.Key(), tracker.EndStopped, "", r.now)
 		}, returnAfterPressure + returnBound},
 		{"yielded", false, yield, returnAfterPressure + returnBound},
 		{"yielded while best-effort tasks hold all memory", true, yield, returnAfterPressure + returnBound},
-		{"failed", false, func(r *overload, task *accountant.Task) {
+		{"failed", false, func(r *overload, task *tracker.Task) {
 			run := task.Runs[0]
-			r.state.EndRun(run.VM, run.Key(), accountant.EndFailed, "", r.now)
+			r.state.EndRun(run.VM, run.Key(), tracker.EndFailed, "", r.now)
 		}, returnAfterPressure + returnBound},
-		{"lost with its VM", false, func(r *overload, task *accountant.Task) {
+		{"lost with its VM", false, func(r *overload, task *tracker.Task) {
 			vm := task.Runs[0].VM
 			vm.Ready = false
 			r.state.Detach(vm)
@@ -169,7 +169,7 @@
 			}
 			r.replayUntil(2*time.Second, func() bool { return false })
 			tasks := longRunning.Occurrences[0].Steps[0].Tasks
-			task := tasks[slices.IndexFunc(tasks, func(t *accountant.Task) bool { return !t.Unavailable() })]
+			task := tasks[slices.IndexFunc(tasks, func(t *tracker.Task) bool { return !t.Unavailable() })]
 			tt.stop(r, task)
 			took, back := r.replayUntil(20*time.Second, func() bool { return !task.Unavailable() })
 			if !back || took > tt.bound {
@@ -236,7 +236,7 @@
 	}
 	worst := time.Duration(0)
 	r.replayUntil(15*time.Second, func() bool {
-		for _, j := range []*accountant.Job{old, young} {
+		for _, j := range []*tracker.Job{old, young} {
 			for _, task := range j.Occurrences[0].Steps[0].Tasks {
 				if len(task.Runs) == 0 {
 					worst = max(worst, r.now.Sub(task.WaitSince))
@@ -274,17 +274,17 @@
 		name          string
 		unavailable   time.Duration
 		underPressure bool
-		change        func(b *fixture, longRunning []*accountant.Job)
+		change        func(b *fixture, longRunning []*tracker.Job)
 		want          int
 	}{
-		{"overdue", returnAfterPressure, true, func(*fixture, []*accountant.Job) {}, 1},
-		{"unavailable only briefly", returnAfterPressure - time.Millisecond, true, func(*fixture, []*accountant.Job) {}, 0},
-		{"no urgent task waits", time.Minute, false, func(*fixture, []*accountant.Job) {}, 0},
-		{"a rotation for it is under way", returnAfterPressure, true, func(b *fixture, longRunning []*accountant.Job) {
+		{"overdue", returnAfterPressure, true, func(*fixture, []*tracker.Job) {}, 1},
+		{"unavailable only briefly", returnAfterPressure - time.Millisecond, true, func(*fixture, []*tracker.Job) {}, 0},
+		{"no urgent task waits", time.Minute, false, func(*fixture, []*tracker.Job) {}, 0},
+		{"a rotation for it is under way", returnAfterPressure, true, func(b *fixture, longRunning []*tracker.Job) {
 			task := longRunning[0].Occurrences[0].Steps[0].Tasks[0]
 			b.state.SetRelocation(task, Rotation{Run: longRunning[1].Occurrences[0].Steps[0].Tasks[0].Runs[0]}.Relocation(begin), begin)
 		}, 0},
-		{"no other task may be unavailable", returnAfterPressure, true, func(_ *fixture, longRunning []*accountant.Job) {
+		{"no other task may be unavailable", returnAfterPressure, true, func(_ *fixture, longRunning []*tracker.Job) {
 			for _, j := range longRunning[1:] {
 				j.Spec.Steps[0].MaxUnavailable = 1
 			}
@@ -294,7 +294,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b, longRunning := fullFleet()
 			task := longRunning[0].Occurrences[0].Steps[0].Tasks[0]
-			b.state.EndRun(task.Runs[0].VM, task.Runs[0].Key(), accountant.EndStopped, "", begin)
+			b.state.EndRun(task.Runs[0].VM, task.Runs[0].Key(), tracker.EndStopped, "", begin)
 			b.occupy(task)
 			task.WaitSince = begin.Add(-tt.unavailable)
 			tt.change(b, longRunning)
--- a/internal/job/planner/rotation.go
+++ b/internal/job/planner/rotation.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of rotations. They cover a fleet that is too small for its long-running and its
@@ -25,13 +25,13 @@
 // Rotation is a long-running run to stop for a long-running task that has been unavailable for
 // long.
 type Rotation struct {
-	Run  *accountant.Run
-	Task *accountant.Task
+	Run  *tracker.Run
+	Task *tracker.Task
 }
 
 // Relocation returns the record of the rotation to store in the task that starts again.
-func (t Rotation) Relocation(now time.Time) accountant.Relocation {
-	return accountant.Relocation{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
+func (t Rotation) Relocation(now time.Time) tracker.Relocation {
+	return tracker.Relocation{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
 }
 
 // Rotations returns the rotations to carry out while urgent tasks wait for capacity.
@@ -46,7 +46,7 @@
 	}
 	r.loadVMs()
 	candidates := r.yieldable()
-	stopping := make(map[*accountant.Step]bool) // at most one per step in a round
+	stopping := make(map[*tracker.Step]bool) // at most one per step in a round
 	for _, t := range overdue {
 		if len(rotations) == max(maxRotations, len(r.vmStates)/vmsPerRotation) {
 			break
@@ -67,7 +67,7 @@
 
 // tryRotation reports whether a task fits in the place of a long-running run of another step,
 // and accounts for it if so.
-func (r *round) tryRotation(run *accountant.Run, t *accountant.Task) bool {
+func (r *round) tryRotation(run *tracker.Run, t *tracker.Task) bool {
 	s := t.Step
 	m := r.findVM(run.VM.Name)
 	if run.Step() == s || m == nil || m.vm.Slow() || t.AvoidedVMs[m.vm.Name] {
--- a/internal/job/planner/score.go
+++ b/internal/job/planner/score.go
@@ -1,6 +1,6 @@
 package planner
 
-import "bamboospread/internal/job/accountant"
+import "bamboospread/internal/job/tracker"
 
 // score ranks VMs for a task; the first differing element decides, higher is better.
 type score [4]float64
@@ -20,7 +20,7 @@
 // separated: long-running tasks are packed on few VMs, and best-effort tasks go where there
 // are fewest of them. Other tasks, which do not interfere, go on the VMs of long-running tasks
 // and leave idle processors elsewhere to best-effort tasks.
-func scoreVM(m *vmState, s *accountant.Step, t *accountant.Task, running int, cost float64) score {
+func scoreVM(m *vmState, s *tracker.Step, t *tracker.Task, running int, cost float64) score {
 	spec := s.Spec
 	var sc score
 	if t.AvoidedVMs[m.vm.Name] {
@@ -55,7 +55,7 @@
 }
 
 // rackShare is the share of the step's current runs that are on a rack.
-func rackShare(s *accountant.Step, rack string) float64 {
+func rackShare(s *tracker.Step, rack string) float64 {
 	here, all := 0, 0
 	for _, t := range s.Tasks {
 		for _, r := range t.Runs {
--- a/internal/job/planner/throttle.go
+++ b/internal/job/planner/throttle.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of throttling. The load of long-running tasks varies, so a best-effort task that did
@@ -25,7 +25,7 @@
 
 // bestEffortRun is a best-effort run during the calculation of paces.
 type bestEffortRun struct {
-	run   *accountant.Run
+	run   *tracker.Run
 	use   float64 // at full pace, as a share of the VM
 	level int     // index of paceLevels
 }
@@ -34,7 +34,7 @@
 
 // throttledPaces returns a pace for each best-effort run of a VM based on the learned effects:
 // the present pace if it is within bounds, otherwise the nearest one that is.
-func throttledPaces(in Input, vm *accountant.VM) []Pace {
+func throttledPaces(in Input, vm *tracker.VM) []Pace {
 	runs := bestEffortRuns(in, vm)
 	if len(runs) == 0 {
 		return nil
@@ -44,7 +44,7 @@
 	paces := make([]Pace, len(runs))
 	for i, b := range runs {
 		pace := b.run.Pace
-		if pace == accountant.PaceUnknown {
+		if pace == tracker.PaceUnknown {
 			pace = paceFull
 		}
 		percent := min(max(pace, paceLevels[low[i].level]), paceLevels[high[i].level])
@@ -53,10 +53,10 @@
 	return paces
 }
 
-func bestEffortRuns(in Input, vm *accountant.VM) []bestEffortRun {
+func bestEffortRuns(in Input, vm *tracker.VM) []bestEffortRun {
 	var runs []bestEffortRun
 	for _, r := range vm.Runs {
-		if r.Step().Spec.BestEffort && r.State == accountant.Running {
+		if r.Step().Spec.BestEffort && r.State == tracker.Running {
 			runs = append(runs, bestEffortRun{run: r, use: fullPaceUse(r, in.Now)})
 		}
 	}
@@ -71,7 +71,7 @@
 	alone float64
 }
 
-func protectedRuns(in Input, vm *accountant.VM) []protectedRun {
+func protectedRuns(in Input, vm *tracker.VM) []protectedRun {
 	if in.Learner == nil {
 		return nil
 	}
--- a/internal/job/planner/throttle_test.go
+++ b/internal/job/planner/throttle_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // sharedVM simulates a VM of 32 processors with a long-running task and best-effort tasks of
@@ -15,9 +15,9 @@
 // use by the interfering image.
 type sharedVM struct {
 	*fixture
-	vm          *accountant.VM
-	longRunning *accountant.Run
-	bestEffort  []*accountant.Run
+	vm          *tracker.VM
+	longRunning *tracker.Run
+	bestEffort  []*tracker.Run
 	learner     *learner.Learner
 }
 
@@ -31,10 +31,10 @@
 func newSharedVM(known bool) *sharedVM {
 	v := &sharedVM{fixture: newFixture()}
 	v.vm = v.fixture.vm("vm", "in", "r1", cores(32))
-	run := func(s specifier.Step) *accountant.Run {
+	run := func(s specifier.Step) *tracker.Run {
 		j := v.job("q", s)
 		r := v.state.Place(j.Occurrences[0].Steps[0].Tasks[0], v.vm, 1, begin.Add(-time.Minute))
-		r.State, r.StartedAt = accountant.Running, begin.Add(-time.Minute)
+		r.State, r.StartedAt = tracker.Running, begin.Add(-time.Minute)
 		return r
 	}
 	v.longRunning = run(specifier.Step{Count: 1, Needs: cores(8), LongRunning: true, TailMillis: simulatedTarget, Image: "l"})
@@ -106,7 +106,7 @@
 func TestHarmlessImageIsNotThrottled(t *testing.T) {
 	v := newSharedVM(true)
 	for _, f := range v.bestEffort[:2] {
-		v.state.EndRun(v.vm, f.Key(), accountant.EndDone, "", begin)
+		v.state.EndRun(v.vm, f.Key(), tracker.EndDone, "", begin)
 	}
 	v.bestEffort = v.bestEffort[2:]
 	over, work := v.simulate(30 * time.Second)
--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Limits of yields. They cover a load under which long-running tasks have reserved nearly all
@@ -30,7 +30,7 @@
 
 // Yields returns the long-running runs to stop to free capacity for urgent tasks, and whether any
 // urgent task has waited too long for capacity.
-func Yields(in Input) (runs []*accountant.Run, underPressure bool) {
+func Yields(in Input) (runs []*tracker.Run, underPressure bool) {
 	r := newRound(in)
 	r.loadVMs()
 	need := r.urgentDemand()
@@ -47,7 +47,7 @@
 			if t.HasRun && t.Unavailable() {
 				unavailable += s.Spec.Needs.CPUMillis
 			}
-			if r := t.PrimaryRun(); r != nil && r.State == accountant.Stopping {
+			if r := t.PrimaryRun(); r != nil && r.State == tracker.Stopping {
 				need -= s.Spec.Needs.CPUMillis // is being stopped
 			}
 		}
@@ -89,7 +89,7 @@
 // limitedByCapacity reports whether capacity is all that a step lacks: some VM would admit a
 // task of it if it were empty. Otherwise tasks that no VM may or can run would make
 // long-running tasks yield forever.
-func (r *round) limitedByCapacity(s *accountant.Step, count map[*accountant.VM]int) bool {
+func (r *round) limitedByCapacity(s *tracker.Step, count map[*tracker.VM]int) bool {
 	return slices.ContainsFunc(r.vmStates, func(m *vmState) bool {
 		return m.eligible(s, count[m.vm]) && m.vm.Capacity.Fits(s.Spec.Committed())
 	})
@@ -98,10 +98,10 @@
 // yieldable returns the long-running runs that may yield, first those whose steps have the
 // smallest share of unavailable tasks, and of equal ones those of the steps with the most
 // processors running. Otherwise the tasks of one large job would yield for all others.
-func (r *round) yieldable() []*accountant.Run {
-	var runs []*accountant.Run
-	unavailable := make(map[*accountant.Step]float64)
-	work := make(map[*accountant.Step]float64)
+func (r *round) yieldable() []*tracker.Run {
+	var runs []*tracker.Run
+	unavailable := make(map[*tracker.Step]float64)
+	work := make(map[*tracker.Step]float64)
 	for _, m := range r.vmStates {
 		for _, run := range longRunningRuns(m.vm) {
 			s := run.Step()
@@ -116,7 +116,7 @@
 			runs = append(runs, run)
 		}
 	}
-	slices.SortStableFunc(runs, func(a, b *accountant.Run) int {
+	slices.SortStableFunc(runs, func(a, b *tracker.Run) int {
 		return cmp.Or(cmp.Compare(unavailable[a.Step()], unavailable[b.Step()]), cmp.Compare(work[b.Step()], work[a.Step()]))
 	})
 	return runs
--- a/internal/job/planner/yield_test.go
+++ b/internal/job/planner/yield_test.go
@@ -4,15 +4,15 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // fullFleet returns a fleet on which long-running tasks have reserved all processors before
 // any urgent task arrived: 10 VMs with four tasks each, of four jobs.
-func fullFleet() (*fixture, []*accountant.Job) {
+func fullFleet() (*fixture, []*tracker.Job) {
 	b := newFixture(specifier.Queue{Name: "long-running"}, specifier.Queue{Name: "urgent", Slack: 1.5}, specifier.Queue{Name: "later", Priority: 2, Slack: 2})
-	var jobs []*accountant.Job
+	var jobs []*tracker.Job
 	for range 4 {
 		jobs = append(jobs, b.job("long-running", specifier.Step{Count: 10, Needs: cores(8), LongRunning: true}))
 	}
@@ -20,7 +20,7 @@
 		vm := b.vm(string(rune('a'+n)), "in", "r1", cores(32))
 		for _, j := range jobs {
 			r := b.state.Place(j.Occurrences[0].Steps[0].Tasks[n], vm, 1, begin.Add(-time.Minute))
-			r.State, r.StartedAt, r.Progress = accountant.Running, begin.Add(-time.Minute), 100
+			r.State, r.StartedAt, r.Progress = tracker.Running, begin.Add(-time.Minute), 100
 		}
 	}
 	return b, jobs
@@ -33,44 +33,44 @@
 	tests := []struct {
 		name   string
 		after  time.Duration // of the urgent task's acceptance
-		change func(b *fixture, longRunning []*accountant.Job)
+		change func(b *fixture, longRunning []*tracker.Job)
 		want   int
 	}{
-		{"one task is enough", yieldAfter, func(b *fixture, _ []*accountant.Job) { b.urgent("urgent", 4) }, 1},
-		{"many are needed", yieldAfter, func(b *fixture, _ []*accountant.Job) { b.urgent("urgent", 400) }, 3},
-		{"urgent tasks have waited only briefly", yieldAfter - time.Millisecond, func(b *fixture, _ []*accountant.Job) { b.urgent("urgent", 4) }, 0},
-		{"the work can wait", yieldAfter, func(b *fixture, _ []*accountant.Job) { b.urgent("later", 4) }, 0},
-		{"a VM has capacity", yieldAfter, func(b *fixture, _ []*accountant.Job) {
+		{"one task is enough", yieldAfter, func(b *fixture, _ []*tracker.Job) { b.urgent("urgent", 4) }, 1},
+		{"many are needed", yieldAfter, func(b *fixture, _ []*tracker.Job) { b.urgent("urgent", 400) }, 3},
+		{"urgent tasks have waited only briefly", yieldAfter - time.Millisecond, func(b *fixture, _ []*tracker.Job) { b.urgent("urgent", 4) }, 0},
+		{"the work can wait", yieldAfter, func(b *fixture, _ []*tracker.Job) { b.urgent("later", 4) }, 0},
+		{"a VM has capacity", yieldAfter, func(b *fixture, _ []*tracker.Job) {
 			b.urgent("urgent", 4)
 			b.vm("new", "in", "r1", cores(32))
 		}, 0},
-		{"one is being stopped", yieldAfter, func(b *fixture, longRunning []*accountant.Job) {
+		{"one is being stopped", yieldAfter, func(b *fixture, longRunning []*tracker.Job) {
 			b.urgent("urgent", 4)
 			b.state.Stop(longRunning[0].Occurrences[0].Steps[0].Tasks[0].Runs[0], "moves", begin)
 		}, 0},
-		{"the maximum has yielded", yieldAfter, func(b *fixture, longRunning []*accountant.Job) {
+		{"the maximum has yielded", yieldAfter, func(b *fixture, longRunning []*tracker.Job) {
 			b.urgent("urgent", 400)
 			for _, task := range longRunning[0].Occurrences[0].Steps[0].Tasks[:8] {
 				task.Yielded = true
-				b.state.EndRun(task.Runs[0].VM, task.Runs[0].Key(), accountant.EndStopped, "", begin)
+				b.state.EndRun(task.Runs[0].VM, task.Runs[0].Key(), tracker.EndStopped, "", begin)
 				b.occupy(task)
 			}
 		}, 0},
-		{"the maximum is unavailable after VMs were lost", yieldAfter, func(b *fixture, _ []*accountant.Job) {
+		{"the maximum is unavailable after VMs were lost", yieldAfter, func(b *fixture, _ []*tracker.Job) {
 			b.urgent("urgent", 400)
 			for _, vm := range []string{"a", "b"} {
 				b.state.Detach(b.state.VMs[vm])
 				b.state.DropRuns(b.state.VMs[vm], begin)
 			}
 		}, 0},
-		{"too late for their callers", 5 * time.Second, func(b *fixture, _ []*accountant.Job) { b.urgent("urgent", 400) }, 0},
-		{"no VM is large enough for them", yieldAfter, func(b *fixture, _ []*accountant.Job) {
+		{"too late for their callers", 5 * time.Second, func(b *fixture, _ []*tracker.Job) { b.urgent("urgent", 400) }, 0},
+		{"no VM is large enough for them", yieldAfter, func(b *fixture, _ []*tracker.Job) {
 			b.job("urgent", specifier.Step{Count: 4, Needs: cores(33), EstimateMillis: 800})
 		}, 0},
-		{"no VM has their label", yieldAfter, func(b *fixture, _ []*accountant.Job) {
+		{"no VM has their label", yieldAfter, func(b *fixture, _ []*tracker.Job) {
 			b.job("urgent", specifier.Step{Count: 4, Needs: cores(1), Label: "gold", EstimateMillis: 800})
 		}, 0},
-		{"no other task may be unavailable", yieldAfter, func(b *fixture, longRunning []*accountant.Job) {
+		{"no other task may be unavailable", yieldAfter, func(b *fixture, longRunning []*tracker.Job) {
 			b.urgent("urgent", 4)
 			for _, j := range longRunning {
 				j.Spec.Steps[0].MaxUnavailable = 1
@@ -90,7 +90,7 @@
 }
 
 // occupy fills the capacity that a long-running task has left.
-func (b *fixture) occupy(t *accountant.Task) {
+func (b *fixture) occupy(t *tracker.Task) {
 	for _, vm := range b.state.VMs {
 		if vm.Committed.CPUMillis < vm.Capacity.CPUMillis {
 			j := b.job("urgent", specifier.Step{Count: 1, Needs: t.Step.Spec.Needs, EstimateMillis: 800})
@@ -115,14 +115,14 @@
 	}
 	task := runs[0].Task
 	task.Yielded = true
-	b.state.EndRun(runs[0].VM, runs[0].Key(), accountant.EndStopped, "", begin)
+	b.state.EndRun(runs[0].VM, runs[0].Key(), tracker.EndStopped, "", begin)
 	at := begin.Add(yieldAfter)
 	for _, s := range Plan(Input{Now: at, State: b.state, UrgentDelayedAt: at}) {
 		if s.Task == task {
 			t.Error("the yielded task starts before the urgent tasks")
 		}
 		r := b.state.Place(s.Task, s.VM, s.Number, at)
-		b.state.EndRun(s.VM, r.Key(), accountant.EndDone, "", at)
+		b.state.EndRun(s.VM, r.Key(), tracker.EndDone, "", at)
 	}
 	if got := Plan(Input{Now: at.Add(yieldCooldown / 2), State: b.state, UrgentDelayedAt: at}); len(got) != 0 {
 		t.Errorf("the yielded task starts %s after the last urgent task waited", yieldCooldown/2)
@@ -166,13 +166,13 @@
 		b.runOn(task, vm)
 	}
 	b.urgent("urgent", 400)
-	yielded := make(map[*accountant.Step]int)
+	yielded := make(map[*tracker.Step]int)
 	for range 4 {
 		runs, _ := Yields(Input{Now: begin.Add(yieldAfter), State: b.state})
 		for _, run := range runs[:min(1, len(runs))] {
 			yielded[run.Step()]++
 			run.Task.Yielded = true
-			b.state.EndRun(run.VM, run.Key(), accountant.EndStopped, "", begin)
+			b.state.EndRun(run.VM, run.Key(), tracker.EndStopped, "", begin)
 			b.occupy(run.Task)
 		}
 	}
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/scheduler"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/pauser"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
@@ -53,9 +53,9 @@
 // Result is the answer to a caller.
 type Result struct {
 	Outcome    Outcome
-	State      accountant.JobState // of a state request
-	Reason     string              // of a refused request
-	RetryAfter time.Duration       // of a refused request
+	State      tracker.JobState // of a state request
+	Reason     string           // of a refused request
+	RetryAfter time.Duration    // of a refused request
 }
 
 // Config holds the settings of a Receiver.
@@ -219,7 +219,7 @@
 	var a messenger.WorkStateReply
 	err := r.config.CallOwner(ctx, messenger.MethodWorkState, messenger.WorkStateRequest{Job: id}, &a)
 	if err == nil && a.Known {
-		return Result{Outcome: Accepted, State: accountant.JobState(a.State)}
+		return Result{Outcome: Accepted, State: tracker.JobState(a.State)}
 	}
 	res, storeErr := r.storedState(ctx, id)
 	if storeErr != nil {
@@ -238,13 +238,13 @@
 		return Result{}, err
 	}
 	record, err := r.config.Store.GetRecord(ctx, scheduler.ProgressKey(id))
-	state := accountant.JobQueued
+	state := tracker.JobQueued
 	switch {
 	case keeper.IsErrKeyNotExist(err):
 	case err != nil:
 		return Result{}, err
 	default:
-		var p accountant.Record
+		var p tracker.Record
 		if err := json.Unmarshal(record.Value, &p); err != nil {
 			return Result{}, fmt.Errorf("decode progress of job %s: %w", id, err)
 		}
@@ -255,7 +255,7 @@
 	}
 	switch _, err := r.config.Store.GetRecord(ctx, scheduler.CancelKey(id)); {
 	case err == nil:
-		state = accountant.JobCancelled
+		state = tracker.JobCancelled
 	case !keeper.IsErrKeyNotExist(err):
 		return Result{}, err
 	}
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/scheduler"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 	"bamboospread/internal/wire/messenger"
@@ -156,13 +156,13 @@
 		owner   string // state in the reply of the owner; empty: no reply
 		written map[string]string
 		want    Outcome
-		state   accountant.JobState
+		state   tracker.JobState
 	}{
-		{"from the owner", "running", nil, Accepted, accountant.JobRunning},
-		{"stored, owner unavailable", "", map[string]string{scheduler.JobKey(id): "{}"}, Accepted, accountant.JobQueued},
-		{"progress", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`}, Accepted, accountant.JobDone},
-		{"cancelled", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"running"}`, scheduler.CancelKey(id): "1"}, Accepted, accountant.JobCancelled},
-		{"cancelled after its end", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`, scheduler.CancelKey(id): "1"}, Accepted, accountant.JobDone},
+		{"from the owner", "running", nil, Accepted, tracker.JobRunning},
+		{"stored, owner unavailable", "", map[string]string{scheduler.JobKey(id): "{}"}, Accepted, tracker.JobQueued},
+		{"progress", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`}, Accepted, tracker.JobDone},
+		{"cancelled", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"running"}`, scheduler.CancelKey(id): "1"}, Accepted, tracker.JobCancelled},
+		{"cancelled after its end", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{"state":"done"}`, scheduler.CancelKey(id): "1"}, Accepted, tracker.JobDone},
 		{"unknown", "", nil, NotExist, ""},
 		{"unreadable", "", map[string]string{scheduler.JobKey(id): "{}", scheduler.ProgressKey(id): `{`}, Refused, ""},
 	}
@@ -191,7 +191,7 @@
 func TestStateReadsStoreWhenOwnerLacksJob(t *testing.T) {
 	f := &fakeStore{written: map[string][]byte{scheduler.JobKey(id): []byte("{}")}}
 	r := newReceiver(f, 0, func(string, any) error { return nil })
-	if res := r.State(t.Context(), id); res.Outcome != Accepted || res.State != accountant.JobQueued {
+	if res := r.State(t.Context(), id); res.Outcome != Accepted || res.State != tracker.JobQueued {
 		t.Errorf("got %d %q", res.Outcome, res.State)
 	}
 }
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/planner"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 )
 
@@ -60,12 +60,12 @@
 	o.advicePending, o.dirty = false, true
 	s := e.request.Step
 	if s.Tickets == nil {
-		s.Tickets = make(map[string]accountant.Ticket)
+		s.Tickets = make(map[string]tracker.Ticket)
 	}
 	allowed := 0
 	for _, vm := range e.request.VMs {
 		text, ok := e.tickets[vm.WorkerID]
-		t := accountant.Ticket{Incarnation: e.incarnations[vm.Name]} // an empty ticket records a refusal
+		t := tracker.Ticket{Incarnation: e.incarnations[vm.Name]} // an empty ticket records a refusal
 		if ok {
 			allowed++
 			t.Text, t.Until = text, e.until
--- a/internal/job/scheduler/bench_test.go
+++ b/internal/job/scheduler/bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 	"bamboospread/internal/wire/connector"
@@ -20,7 +20,7 @@
 // the agent's call to the owner's reply over a connection, including decoding and accounting.
 func BenchmarkReport(b *testing.B) {
 	s := New(Config{Cell: "c", EntryID: "e", Now: time.Now, Reporter: reporter.Discard(), Policy: func() *specifier.Policy { return &specifier.Policy{} }, Store: keeper.Calls{}, Metrics: nil})
-	o := newOwner(s, 1, accountant.New(accountant.Config{}), time.Now())
+	o := newOwner(s, 1, tracker.New(tracker.Config{}), time.Now())
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	go func() {
--- a/internal/job/scheduler/explain.go
+++ b/internal/job/scheduler/explain.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/planner"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -29,7 +29,7 @@
 	})
 }
 
-func stepStatus(in planner.Input, s *accountant.Step) messenger.WorkStepStatus {
+func stepStatus(in planner.Input, s *tracker.Step) messenger.WorkStepStatus {
 	w := messenger.WorkStepStatus{Occurrence: s.Occurrence.Number, Step: s.Number, Tasks: len(s.Tasks), Done: s.Done}
 	for _, t := range s.Tasks {
 		w.Failures += len(t.Failed)
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 )
@@ -34,7 +34,7 @@
 	}
 	o.flushing = true
 	o.flushAfter = o.s.config.Now().Add(minFlushInterval)
-	e := &flushResult{flush: f, states: make(map[string]accountant.JobState)}
+	e := &flushResult{flush: f, states: make(map[string]tracker.JobState)}
 	var t []keeper.Put
 	for _, j := range f.Jobs {
 		puts, err := changedRecords(j)
@@ -98,7 +98,7 @@
 // Of an ended job only the id and the state are kept. A new owner lists all records, and on a
 // 10 Mbit/s link the payloads and steps of one minute's jobs took longer than the call limit,
 // so that no owner completed its takeover.
-func changedRecords(j *accountant.Job) ([]keeper.Put, error) {
+func changedRecords(j *tracker.Job) ([]keeper.Put, error) {
 	value, err := j.Encode()
 	if err != nil {
 		return nil, err
@@ -131,8 +131,8 @@
 }
 
 type flushResult struct {
-	flush    *accountant.Flush
-	states   map[string]accountant.JobState
+	flush    *tracker.Flush
+	states   map[string]tracker.JobState
 	removals []string
 	took     time.Duration
 	err      error
--- a/internal/job/scheduler/flush_test.go
+++ b/internal/job/scheduler/flush_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 )
 
 // Guards against takeovers that do not complete on a slow link, since they list the payloads of
@@ -14,7 +14,7 @@
 // tombstone. The record of an active job is not rewritten.
 func TestFinalStateReplacesRecordByTombstone(t *testing.T) {
 	now := time.Now()
-	state := accountant.New(accountant.Config{Policy: &specifier.Policy{}})
+	state := tracker.New(tracker.Config{Policy: &specifier.Policy{}})
 	spec := &specifier.Job{ID: "00000000000004d2", Queue: "q", Payload: strings.Repeat("x", specifier.MaxPayloadBytes), Steps: []specifier.Step{{Count: 1}}}
 	state.AddJob(spec, time.Time{}, now)
 	puts, err := changedRecords(state.Jobs[spec.ID])
--- a/internal/job/scheduler/follow_test.go
+++ b/internal/job/scheduler/follow_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 )
@@ -39,7 +39,7 @@
 		}
 		return keeper.WatchResult{Revision: 7, Changes: []keeper.Change{{Record: keeper.Record{Key: CancelKey(stoppedJob), Revision: 7}}}}, nil
 	}})
-	o := newOwner(s, 1, accountant.New(accountant.Config{}), time.Now())
+	o := newOwner(s, 1, tracker.New(tracker.Config{}), time.Now())
 	ctx, cancel := context.WithCancel(t.Context())
 	followed := make(chan struct{})
 	go func() { defer close(followed); o.follow(ctx) }()
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	recordSeen{job, sourceWatch}.apply(o, time.Now())
-	if got := o.state.Jobs[stoppedJob]; got == nil || got.State != accountant.JobCancelled {
+	if got := o.state.Jobs[stoppedJob]; got == nil || got.State != tracker.JobCancelled {
 		t.Errorf("job is %+v, want it cancelled", got)
 	}
 }
--- a/internal/job/scheduler/members_test.go
+++ b/internal/job/scheduler/members_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 	"bamboospread/internal/wire/connector"
@@ -18,7 +18,7 @@
 func newTestOwner(transact func(context.Context, keeper.Transaction) (int64, error)) *owner {
 	policy := &specifier.Policy{Version: 1}
 	s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }, Store: keeper.Calls{Transact: transact}})
-	return newOwner(s, 1, accountant.New(accountant.Config{Policy: policy}), time.Now())
+	return newOwner(s, 1, tracker.New(tracker.Config{Policy: policy}), time.Now())
 }
 
 // applyReport applies a report and reports whether it was accepted.
--- a/internal/job/scheduler/metrics.go
+++ b/internal/job/scheduler/metrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 )
 
 // Metrics counts an owner's decisions. A nil Metrics counts nothing.
@@ -15,13 +15,13 @@
 // NewMetrics returns a Metrics that registers its metrics in set.
 func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (m *Metrics) runEnded(outcome accountant.End) {
+func (m *Metrics) runEnded(outcome tracker.End) {
 	if m != nil {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`bamboospread_job_runs_ended_total{how=%q}`, outcome)).Inc()
 	}
 }
 
-func (m *Metrics) runStarted(r *accountant.Run, now time.Time) {
+func (m *Metrics) runStarted(r *tracker.Run, now time.Time) {
 	if m == nil {
 		return
 	}
@@ -30,7 +30,7 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`bamboospread_job_wait_seconds{queue=%q}`, queue)).Update(now.Sub(r.Task.WaitSince).Seconds())
 }
 
-func (m *Metrics) jobEnded(j *accountant.Job, now time.Time) {
+func (m *Metrics) jobEnded(j *tracker.Job, now time.Time) {
 	if m == nil {
 		return
 	}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/learner"
 	"bamboospread/internal/job/planner"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/abridger"
 	"bamboospread/internal/wire/connector"
@@ -71,7 +71,7 @@
 	restorersMu sync.Mutex
 	restorers   map[*connector.Conn]*abridger.Restorer // for abridged agent reports
 
-	state               *accountant.Accountant
+	state               *tracker.Tracker
 	learner             *learner.Learner
 	cache               *planner.Cache
 	sessions            map[string]*session  // by VM
@@ -102,7 +102,7 @@
 	removeEndedAt       time.Time
 }
 
-func newOwner(s *Scheduler, epoch int64, state *accountant.Accountant, now time.Time) *owner {
+func newOwner(s *Scheduler, epoch int64, state *tracker.Tracker, now time.Time) *owner {
 	return &owner{
 		s: s, epoch: epoch, started: now, state: state, learner: learner.New(), learnedStoredAt: now, cache: planner.NewCache(), writer: newWriter(s.config.Store.Transact), events: make(chan event, eventBuffer), done: make(chan struct{}),
 		restorers: make(map[*connector.Conn]*abridger.Restorer),
@@ -251,7 +251,7 @@
 	return g + g/50 + grantSlack
 }
 
-func (o *owner) reportLost(vm *accountant.VM, lost []*accountant.Run, cause string) {
+func (o *owner) reportLost(vm *tracker.VM, lost []*tracker.Run, cause string) {
 	for _, r := range lost {
 		o.s.config.Reporter.Report(reporter.JobRunLost, reporter.Fields{"task": r.Key().Task.String(), "run": r.Number, "vm": vm.Name, "state": r.State.String(), "cause": cause})
 	}
--- a/internal/job/scheduler/policy_test.go
+++ b/internal/job/scheduler/policy_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/messenger"
 )
@@ -30,7 +30,7 @@
 			policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 			age := time.Duration(0)
 			s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }, PolicyAge: func() time.Duration { return age }})
-			state := accountant.New(accountant.Config{Policy: policy})
+			state := tracker.New(tracker.Config{Policy: policy})
 			o := newOwner(s, 1, state, now)
 			o.members["vm-1"] = true
 			r := messenger.WorkReport{
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/planner"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/abridger"
 	"bamboospread/internal/wire/connector"
@@ -21,7 +21,7 @@
 
 // session is an agent's session with this owner.
 type session struct {
-	vm      *accountant.VM
+	vm      *tracker.VM
 	number  int64
 	process int64   // identifies the agent's process
 	ended   []int64 // the agent's earlier processes, the latest last
@@ -47,8 +47,8 @@
 	conn     *connector.Conn
 	connDone <-chan struct{} // closed with the connection
 	report   messenger.WorkReport
-	info     accountant.VMInfo
-	parsed   accountant.Report
+	info     tracker.VMInfo
+	parsed   tracker.Report
 	answer   chan messenger.WorkReply
 }
 
@@ -110,9 +110,9 @@
 		return
 	}
 	reply := messenger.WorkReply{Epoch: o.epoch, GapMillis: o.reportInterval().Milliseconds()}
-	var changes accountant.Changes
+	var changes tracker.Changes
 	if s == nil || s.conn != e.conn {
-		var vm *accountant.VM
+		var vm *tracker.VM
 		vm, changes = o.state.Attach(e.info, e.parsed, now)
 		s = s.next(vm, e)
 		s.epoch, s.reporter = o.epoch, o.s.config.Reporter
@@ -181,7 +181,7 @@
 }
 
 // next returns the session that a report opens after s. s may be nil.
-func (s *session) next(vm *accountant.VM, e reportReceived) *session {
+func (s *session) next(vm *tracker.VM, e reportReceived) *session {
 	n := &session{vm: vm, number: e.report.Session, process: e.report.Process, conn: e.conn}
 	if s == nil {
 		return n
@@ -223,7 +223,7 @@
 }
 
 // reportChanges logs and counts the changes of a report.
-func (o *owner) reportChanges(vm *accountant.VM, c accountant.Changes) {
+func (o *owner) reportChanges(vm *tracker.VM, c tracker.Changes) {
 	for _, e := range c.Ended {
 		o.s.config.Metrics.runEnded(e.Outcome)
 		o.s.config.Reporter.Report(reporter.JobRunEnded, reporter.Fields{"task": e.Key.Task.String(), "run": e.Key.Number, "vm": vm.Name, "how": string(e.Outcome), "end": e.Seq})
@@ -235,7 +235,7 @@
 }
 
 // runNeeds lists the committed resources of the VM's runs.
-func runNeeds(vm *accountant.VM) []messenger.WorkRun {
+func runNeeds(vm *tracker.VM) []messenger.WorkRun {
 	var all []messenger.WorkRun
 	for key, r := range vm.Runs {
 		needs := r.Step().Spec.Committed()
@@ -245,7 +245,7 @@
 }
 
 // unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
-func unconfirmedStarts(vm *accountant.VM, now time.Time) []messenger.WorkUnconfirmedStart {
+func unconfirmedStarts(vm *tracker.VM, now time.Time) []messenger.WorkUnconfirmedStart {
 	var all []messenger.WorkUnconfirmedStart
 	for _, d := range vm.InheritedStarts(now) {
 		all = append(all, messenger.WorkUnconfirmedStart{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
@@ -253,14 +253,14 @@
 	return all
 }
 
-func parseReport(r messenger.WorkReport) (accountant.Report, accountant.VMInfo, error) {
-	rep := accountant.Report{Incarnation: r.Incarnation, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
+func parseReport(r messenger.WorkReport) (tracker.Report, tracker.VMInfo, error) {
+	rep := tracker.Report{Incarnation: r.Incarnation, Process: r.Process, Ready: r.Ready, OrdersSeen: r.OrdersSeen, Age: time.Duration(r.AgeMillis) * time.Millisecond}
 	for _, w := range r.Runs {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.VMInfo{}, err
+			return rep, tracker.VMInfo{}, err
 		}
-		run := accountant.ReportedRun{Key: accountant.RunKey{Task: id, Number: w.Run}, Confirmed: w.Confirmed, Stopping: w.Stopping, Checkpoint: w.Checkpoint, Progress: w.Progress, Measure: w.Measure}
+		run := tracker.ReportedRun{Key: tracker.RunKey{Task: id, Number: w.Run}, Confirmed: w.Confirmed, Stopping: w.Stopping, Checkpoint: w.Checkpoint, Progress: w.Progress, Measure: w.Measure}
 		if w.Needs != nil {
 			run.Needs = *w.Needs
 		}
@@ -269,18 +269,18 @@
 	for _, w := range r.Ends {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.VMInfo{}, err
+			return rep, tracker.VMInfo{}, err
 		}
-		rep.Ends = append(rep.Ends, accountant.ReportedEnd{Seq: w.Seq, Key: accountant.RunKey{Task: id, Number: w.Run}, Outcome: accountant.End(w.Outcome), Checkpoint: w.Checkpoint})
+		rep.Ends = append(rep.Ends, tracker.ReportedEnd{Seq: w.Seq, Key: tracker.RunKey{Task: id, Number: w.Run}, Outcome: tracker.End(w.Outcome), Checkpoint: w.Checkpoint})
 	}
 	for _, w := range r.UnconfirmedStarts {
 		id, err := specifier.ParseTaskID(w.Task)
 		if err != nil {
-			return rep, accountant.VMInfo{}, err
+			return rep, tracker.VMInfo{}, err
 		}
-		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, accountant.UnconfirmedStart{Key: accountant.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
+		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, tracker.UnconfirmedStart{Key: tracker.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
 	}
-	info := accountant.VMInfo{Name: r.VM}
+	info := tracker.VMInfo{Name: r.VM}
 	if f := r.VMInfo; f != nil {
 		info.Zone, info.Rack, info.Service, info.Labels, info.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
 		info.WorkerID = f.WorkerID
@@ -305,7 +305,7 @@
 
 // orderStop reports whether the stop was ordered. A detached VM gets no orders; its runs are
 // checked again when its agent is back.
-func (o *owner) orderStop(r *accountant.Run, cause string) bool {
+func (o *owner) orderStop(r *tracker.Run, cause string) bool {
 	s := o.sessions[r.VM.Name]
 	if s == nil || !r.VM.Attached {
 		return false
--- a/internal/job/scheduler/session_test.go
+++ b/internal/job/scheduler/session_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 	"bamboospread/internal/wire/connector"
@@ -20,7 +20,7 @@
 	now := time.Now()
 	policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 	s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }})
-	state := accountant.New(accountant.Config{Policy: policy})
+	state := tracker.New(tracker.Config{Policy: policy})
 	state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1}}}, time.Time{}, now)
 	o := newOwner(s, 1, state, now)
 	o.members["vm-1"] = true
@@ -61,7 +61,7 @@
 		return 1, nil
 	}
 	s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }, Store: keeper.Calls{Transact: transact}})
-	state := accountant.New(accountant.Config{Policy: policy})
+	state := tracker.New(tracker.Config{Policy: policy})
 	o := newOwner(s, 1, state, now)
 	state.AddJob(&specifier.Job{ID: "00000000000004d2", Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: specifier.Resources{CPUMillis: 600}}}}, time.Time{}, now)
 	report := func(ready bool) int64 {
@@ -126,7 +126,7 @@
 			now := time.Now()
 			policy := &specifier.Policy{Version: 1}
 			s := New(Config{Cell: "jobs", Reporter: reporter.Discard(), Now: time.Now, Policy: func() *specifier.Policy { return policy }})
-			o := newOwner(s, 1, accountant.New(accountant.Config{Policy: policy}), now)
+			o := newOwner(s, 1, tracker.New(tracker.Config{Policy: policy}), now)
 			for i, session := range tt.open {
 				r := messenger.WorkReport{VM: "vm-1", Process: session.process, Session: session.session, Incarnation: "1", Ready: true, VMInfo: &messenger.WorkVMInfo{}}
 				parsed, info, err := parseReport(r)
@@ -185,7 +185,7 @@
 	const processes = 3 * maxEndedProcesses
 	var s *session
 	for p := range int64(processes) {
-		s = s.next(&accountant.VM{}, reportReceived{report: messenger.WorkReport{Process: p + 1, Session: 1}})
+		s = s.next(&tracker.VM{}, reportReceived{report: messenger.WorkReport{Process: p + 1, Session: 1}})
 	}
 	if len(s.ended) != maxEndedProcesses || s.ended[maxEndedProcesses-1] != processes-1 {
 		t.Errorf("remembered processes: %v", s.ended)
--- a/internal/job/scheduler/stops_test.go
+++ b/internal/job/scheduler/stops_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 	"bamboospread/internal/wire/connector"
@@ -36,7 +36,7 @@
 	}
 	policy := &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: 1, Slack: 2}}}
 	s := New(Config{Cell: "jobs", Reporter: r, Now: func() time.Time { return b.now }, Policy: func() *specifier.Policy { return policy }})
-	state := accountant.New(accountant.Config{Policy: policy})
+	state := tracker.New(tracker.Config{Policy: policy})
 	b.o = newOwner(s, 2, state, b.now)
 	b.o.reconciled = true
 	state.AddJob(&specifier.Job{ID: stoppedJob, Queue: "q", Steps: []specifier.Step{{Count: 1, LongRunning: true}}}, time.Time{}, b.now)
--- a/internal/job/scheduler/takeover.go
+++ b/internal/job/scheduler/takeover.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/store/keeper"
 )
@@ -23,7 +23,7 @@
 // takeOver loads the cell's state from the store.
 func (s *Scheduler) takeOver(ctx context.Context, epoch int64) (*owner, error) {
 	now := s.config.Now()
-	state := accountant.New(accountant.Config{RunFloor: (epoch - 1) * runsPerEpoch, Policy: s.config.Policy()})
+	state := tracker.New(tracker.Config{RunFloor: (epoch - 1) * runsPerEpoch, Policy: s.config.Policy()})
 	o := newOwner(s, epoch, state, now)
 	work, revision, err := s.findAll(ctx, WorkPrefix)
 	if err != nil {
@@ -80,7 +80,7 @@
 
 // addJob adds an accepted job and reports whether it is new.
 func (o *owner) addJob(r keeper.Record, reconcileAt, now time.Time) bool {
-	spec, err := accountant.DecodeJob(r.Value)
+	spec, err := tracker.DecodeJob(r.Value)
 	if err != nil || JobKey(spec.ID) != r.Key {
 		o.s.config.Reporter.Report(reporter.JobRecordsUnreadable, reporter.Fields{"key": r.Key, "error": fmt.Sprint(err)})
 		return false
--- a/internal/job/scheduler/waits.go
+++ b/internal/job/scheduler/waits.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/planner"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 )
 
@@ -25,10 +25,10 @@
 		return
 	}
 	o.waitsCheckedAt = now
-	steps := slices.DeleteFunc(o.state.WaitingSteps(now), func(s *accountant.Step) bool {
+	steps := slices.DeleteFunc(o.state.WaitingSteps(now), func(s *tracker.Step) bool {
 		return now.Sub(s.ReadyAt) < waitReportAfter || now.Sub(o.waitReportedAt[s.Name()]) < waitReportInterval
 	})
-	slices.SortStableFunc(steps, func(a, b *accountant.Step) int { return cmp.Compare(a.ReadyAt.UnixNano(), b.ReadyAt.UnixNano()) })
+	slices.SortStableFunc(steps, func(a, b *tracker.Step) int { return cmp.Compare(a.ReadyAt.UnixNano(), b.ReadyAt.UnixNano()) })
 	for name, at := range o.waitReportedAt {
 		if now.Sub(at) > 2*waitReportInterval {
 			delete(o.waitReportedAt, name)
--- a/internal/job/accountant/fuzz_test.go
+++ b/internal/job/tracker/fuzz_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -19,21 +19,21 @@
 		if err != nil {
 			return
 		}
-		a := newState(t, 3)
-		a.AddJob(spec, at(0), at(0))
-		if a.Jobs[spec.ID] == nil {
+		tr := newState(t, 3)
+		tr.AddJob(spec, at(0), at(0))
+		if tr.Jobs[spec.ID] == nil {
 			t.Fatal("the decoded job is missing")
 		}
-		_ = a.Restore(spec.ID, []byte(progress), at(10))
-		a.Reconcile(true, at(20))
-		a.OpenDue(at(20))
-		for _, s := range a.OpenSteps() {
+		_ = tr.Restore(spec.ID, []byte(progress), at(10))
+		tr.Reconcile(true, at(20))
+		tr.OpenDue(at(20))
+		for _, s := range tr.OpenSteps() {
 			_ = s.Name()
 		}
-		a.Unwanted()
-		a.Pending("q")
-		a.Find(specifier.TaskID{Job: spec.ID, Index: 1})
-		if _, err := a.Jobs[spec.ID].Encode(); err != nil {
+		tr.Unwanted()
+		tr.Pending("q")
+		tr.Find(specifier.TaskID{Job: spec.ID, Index: 1})
+		if _, err := tr.Jobs[spec.ID].Encode(); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/job/accountant/health_test.go
+++ b/internal/job/tracker/health_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -8,21 +8,21 @@
 )
 
 // runTasks starts n tasks on a VM, each as the only task of a separate job.
-func runTasks(t *testing.T, a *Accountant, vm *VM, n int, step specifier.Step) {
+func runTasks(t *testing.T, tr *Tracker, vm *VM, n int, step specifier.Step) {
 	t.Helper()
 	for i := range n {
-		j := addJob(t, a, 100+i, step)
-		a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
+		j := addJob(t, tr, 100+i, step)
+		tr.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
 	}
 }
 
 // reportProgress applies a report with the same progress for all runs of a VM.
-func reportProgress(a *Accountant, vm *VM, millis, percent int, age time.Duration) {
+func reportProgress(tr *Tracker, vm *VM, millis, percent int, age time.Duration) {
 	rep := Report{Incarnation: "1", Ready: true, OrdersSeen: 1000, Age: age}
 	for k := range vm.Runs {
 		rep.Runs = append(rep.Runs, ReportedRun{Key: k, Confirmed: true, Progress: percent, Measure: 1000})
 	}
-	a.Apply(vm, rep, at(millis))
+	tr.Apply(vm, rep, at(millis))
 }
 
 var oneSecond = specifier.Step{Count: 1, Needs: specifier.Resources{CPUMillis: 500, MemoryMB: 10}, EstimateMillis: 1000}
@@ -31,12 +31,12 @@
 // processors in use, but its tasks make no progress. It looks the least loaded and gets
 // more and more tasks.
 func TestWorkerWithStalledTasksIsQuarantined(t *testing.T) {
-	a := newState(t, 3)
-	vm := attach(a, "vm")
-	runTasks(t, a, vm, 4, oneSecond)
+	tr := newState(t, 3)
+	vm := attach(tr, "vm")
+	runTasks(t, tr, vm, 4, oneSecond)
 	for millis := 0; millis <= 1500; millis += 300 {
-		reportProgress(a, vm, millis, 0, 0)
-		stopped := len(a.Stalled(at(millis)))
+		reportProgress(tr, vm, millis, 0, 0)
+		stopped := len(tr.Stalled(at(millis)))
 		if millis <= 600 && stopped > 0 {
 			t.Fatalf("%d runs are stopped after %d ms", stopped, millis)
 		}
@@ -61,13 +61,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			vm := attach(a, "vm")
-			runTasks(t, a, vm, 3, tt.step)
+			tr := newState(t, 3)
+			vm := attach(tr, "vm")
+			runTasks(t, tr, vm, 3, tt.step)
 			for millis := 0; millis <= 3000; millis += 300 {
 				age := min(tt.age, time.Duration(millis)*time.Millisecond)
-				reportProgress(a, vm, millis, tt.progress(millis), age)
-				if got := a.Stalled(at(millis)); len(got) > 0 {
+				reportProgress(tr, vm, millis, tt.progress(millis), age)
+				if got := tr.Stalled(at(millis)); len(got) > 0 {
 					t.Fatalf("%d runs are stopped after %d ms", len(got), millis)
 				}
 			}
@@ -82,13 +82,13 @@
 		slow    bool
 	}{{"as declared", 10, false}, {"half as fast", 5, false}, {"six times slower", 2, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			vm := attach(a, "vm")
+			tr := newState(t, 3)
+			vm := attach(tr, "vm")
 			step := oneSecond
 			step.EstimateMillis = 3000
-			runTasks(t, a, vm, 4, step)
+			runTasks(t, tr, vm, 4, step)
 			for i := range 9 {
-				reportProgress(a, vm, 300*i, tt.percent*i, 0)
+				reportProgress(tr, vm, 300*i, tt.percent*i, 0)
 			}
 			if vm.Slow() != tt.slow {
 				t.Errorf("a speed of %.2f after %d samples counts as slow: %t", vm.Speed.Value, vm.Speed.Samples, vm.Slow())
@@ -100,22 +100,22 @@
 // Tasks fail on a faulty worker, and on a healthy one if the task itself is faulty. Only
 // the faulty worker is quarantined.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
-	a := newState(t, 100)
-	faulty, healthy := attach(a, "faulty"), attach(a, "healthy")
+	tr := newState(t, 100)
+	faulty, healthy := attach(tr, "faulty"), attach(tr, "healthy")
 	for i := range 6 {
-		addJob(t, a, 1+i, oneSecond)
-		a.EndRun(faulty, key(1+i, 0, 0, 1), EndFailed, "", at(i))
-		a.EndRun(healthy, key(1, 0, 0, int64(10+i)), EndFailed, "", at(i)) // always the same task
+		addJob(t, tr, 1+i, oneSecond)
+		tr.EndRun(faulty, key(1+i, 0, 0, 1), EndFailed, "", at(i))
+		tr.EndRun(healthy, key(1, 0, 0, int64(10+i)), EndFailed, "", at(i)) // always the same task
 	}
 	if !faulty.Quarantined(at(10)) || healthy.Quarantined(at(10)) {
 		t.Errorf("quarantined: %t and %t, want true and false", faulty.Quarantined(at(10)), healthy.Quarantined(at(10)))
 	}
 	first := faulty.Health.QuarantinedUntil
-	a.EndRun(faulty, key(1, 0, 0, 99), EndFailed, "", first.Add(time.Second))
+	tr.EndRun(faulty, key(1, 0, 0, 99), EndFailed, "", first.Add(time.Second))
 	if !faulty.Health.QuarantinedUntil.After(first) {
 		t.Error("a failure right after the quarantine does not start another")
 	}
-	a.EndRun(faulty, key(1, 0, 0, 100), EndDone, "", faulty.Health.QuarantinedUntil)
+	tr.EndRun(faulty, key(1, 0, 0, 100), EndDone, "", faulty.Health.QuarantinedUntil)
 	if faulty.Health.ConsecutiveQuarantines != 0 {
 		t.Error("a completed task does not clear the health record")
 	}
@@ -125,21 +125,21 @@
 // capacity. After a quarantine the VM accepted one task at a time until one was done. The
 // long-running tasks from before the quarantine counted as that task and were never done.
 func TestProbationEndsWithLongRunningTasks(t *testing.T) {
-	a := newState(t, 3)
-	vm := attach(a, "vm")
+	tr := newState(t, 3)
+	vm := attach(tr, "vm")
 	longRunning := specifier.Step{Count: 1, Needs: oneCore, LongRunning: true}
-	runTasks(t, a, vm, 2, longRunning)
-	reportProgress(a, vm, 0, 100, 0)
+	runTasks(t, tr, vm, 2, longRunning)
+	reportProgress(tr, vm, 0, 100, 0)
 	vm.quarantine("tasks failed", begin)
 	after := int(quarantineFirst/time.Millisecond) + 1
 	if vm.Probes() != 0 {
 		t.Fatalf("%d runs from before the quarantine count as probes", vm.Probes())
 	}
-	probe := addJob(t, a, 500, longRunning)
-	a.Place(probe.Occurrences[0].Steps[0].Tasks[0], vm, 1, at(after))
+	probe := addJob(t, tr, 500, longRunning)
+	tr.Place(probe.Occurrences[0].Steps[0].Tasks[0], vm, 1, at(after))
 	for millis := after; millis <= after+2100; millis += 300 {
-		reportProgress(a, vm, millis, 100, 0)
-		a.Stalled(at(millis))
+		reportProgress(tr, vm, millis, 100, 0)
+		tr.Stalled(at(millis))
 		if elapsed := millis - after; elapsed < 1200 && !vm.OnProbation() {
 			t.Fatalf("probation ended after %d ms", elapsed)
 		}
--- a/internal/job/accountant/helpers_test.go
+++ b/internal/job/tracker/helpers_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"fmt"
@@ -19,26 +19,26 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-func newState(t *testing.T, maxFailures int) *Accountant {
+func newState(t *testing.T, maxFailures int) *Tracker {
 	t.Helper()
 	return New(Config{Policy: &specifier.Policy{Version: 1, Queues: []specifier.Queue{{Name: "q", MaxFailures: maxFailures, Slack: 2}}}})
 }
 
-func addJob(t *testing.T, a *Accountant, n int, steps ...specifier.Step) *Job {
+func addJob(t *testing.T, tr *Tracker, n int, steps ...specifier.Step) *Job {
 	t.Helper()
 	spec := &specifier.Job{ID: jobID(n), Queue: "q", Steps: steps, AcceptedMillis: begin.UnixMilli()}
 	if err := specifier.Check(spec); err != nil {
 		t.Fatal(err)
 	}
-	if !a.AddJob(spec, time.Time{}, begin) {
+	if !tr.AddJob(spec, time.Time{}, begin) {
 		t.Fatalf("job %d is not new", n)
 	}
-	return a.Jobs[spec.ID]
+	return tr.Jobs[spec.ID]
 }
 
 // attach opens a session of a VM without runs.
-func attach(a *Accountant, name string) *VM {
-	vm, _ := a.Attach(VMInfo{Name: name, Zone: "z", Capacity: eightCore}, Report{Incarnation: "1", Ready: true}, begin)
+func attach(tr *Tracker, name string) *VM {
+	vm, _ := tr.Attach(VMInfo{Name: name, Zone: "z", Capacity: eightCore}, Report{Incarnation: "1", Ready: true}, begin)
 	return vm
 }
 
--- a/internal/job/accountant/job.go
+++ b/internal/job/tracker/job.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"slices"
@@ -10,31 +10,31 @@
 
 // AddJob adds an accepted job and reports whether it is new. A known job is left
 // unchanged, so a repeated submission does not create a second one.
-func (a *Accountant) AddJob(spec *specifier.Job, reconcileAt, now time.Time) bool {
-	if a.Jobs[spec.ID] != nil {
+func (tr *Tracker) AddJob(spec *specifier.Job, reconcileAt, now time.Time) bool {
+	if tr.Jobs[spec.ID] != nil {
 		return false
 	}
 	j := &Job{Spec: spec, State: JobQueued, StoredState: JobQueued, ReconcileAt: reconcileAt}
-	j.Queue, _ = a.policy.QueueByName(spec.Queue)
-	a.Jobs[spec.ID] = j
-	a.open = nil
+	j.Queue, _ = tr.policy.QueueByName(spec.Queue)
+	tr.Jobs[spec.ID] = j
+	tr.open = nil
 	if spec.Ended != "" {
 		j.State, j.StoredState, j.Started = JobState(spec.Ended), JobState(spec.Ended), true
 		j.EndedAt = time.UnixMilli(spec.EndedMillis)
 		return true
 	}
-	a.openDue(j, now)
+	tr.openDue(j, now)
 	return true
 }
 
 // OpenDue opens the occurrences that are due.
-func (a *Accountant) OpenDue(now time.Time) {
-	for _, j := range a.Jobs {
-		a.openDue(j, now)
+func (tr *Tracker) OpenDue(now time.Time) {
+	for _, j := range tr.Jobs {
+		tr.openDue(j, now)
 	}
 }
 
-func (a *Accountant) openDue(j *Job, now time.Time) {
+func (tr *Tracker) openDue(j *Job, now time.Time) {
 	if j.Unreadable {
 		return
 	}
@@ -70,8 +70,8 @@
 }
 
 // Find returns a task of an open occurrence, or nil if there is none with the ID.
-func (a *Accountant) Find(id specifier.TaskID) *Task {
-	j := a.Jobs[id.Job]
+func (tr *Tracker) Find(id specifier.TaskID) *Task {
+	j := tr.Jobs[id.Job]
 	if j == nil {
 		return nil
 	}
@@ -85,12 +85,12 @@
 
 // Cancel ends a job whose cancellation is stored. The next call of Unwanted returns its
 // runs. Cancel returns how many there are, and whether the job was open.
-func (a *Accountant) Cancel(id string, now time.Time) (runs int, open bool) {
-	j := a.Jobs[id]
+func (tr *Tracker) Cancel(id string, now time.Time) (runs int, open bool) {
+	j := tr.Jobs[id]
 	if j == nil || j.State.Final() {
 		return 0, false
 	}
-	a.finish(j, JobCancelled, now)
+	tr.finish(j, JobCancelled, now)
 	return j.runs(), true
 }
 
@@ -107,21 +107,21 @@
 	return n
 }
 
-func (a *Accountant) finish(j *Job, state JobState, now time.Time) {
+func (tr *Tracker) finish(j *Job, state JobState, now time.Time) {
 	j.State, j.EndedAt, j.dirty = state, now, true
-	a.open = nil
-	a.ended = append(a.ended, j)
+	tr.open = nil
+	tr.ended = append(tr.ended, j)
 }
 
 // TakeEnded returns the jobs that have ended since the last call.
-func (a *Accountant) TakeEnded() []*Job {
-	ended := a.ended
-	a.ended = nil
+func (tr *Tracker) TakeEnded() []*Job {
+	ended := tr.ended
+	tr.ended = nil
 	return ended
 }
 
 // taskDone marks a task as done. This may make later steps ready, and end the occurrence.
-func (a *Accountant) taskDone(t *Task, now time.Time) {
+func (tr *Tracker) taskDone(t *Task, now time.Time) {
 	s := t.Step
 	if t.Done {
 		return
@@ -147,11 +147,11 @@
 		}
 	}
 	if s.Occurrence.Finished() {
-		a.closeOccurrence(s.Occurrence, now)
+		tr.closeOccurrence(s.Occurrence, now)
 	}
 }
 
-func (a *Accountant) closeOccurrence(o *Occurrence, now time.Time) {
+func (tr *Tracker) closeOccurrence(o *Occurrence, now time.Time) {
 	j := o.Job
 	for i, open := range j.Occurrences {
 		if open == o {
@@ -161,7 +161,7 @@
 	}
 	j.Finished++
 	if j.Finished == j.Spec.OccurrenceCount() && !j.State.Final() {
-		a.finish(j, JobDone, now)
+		tr.finish(j, JobDone, now)
 	}
 }
 
@@ -169,7 +169,7 @@
 // that was stored but not yet acknowledged is reported to the next owner again, and
 // counting it twice would use up the task's attempts. A long-running task has no limit
 // and is restarted however it ends.
-func (a *Accountant) taskFailed(t *Task, number int64, now time.Time) {
+func (tr *Tracker) taskFailed(t *Task, number int64, now time.Time) {
 	if slices.Contains(t.Failed, number) {
 		return
 	}
@@ -184,7 +184,7 @@
 		return
 	}
 	if len(t.Failed) >= j.Queue.MaxFailures {
-		a.finish(j, JobFailed, now)
+		tr.finish(j, JobFailed, now)
 	}
 }
 
@@ -201,19 +201,19 @@
 }
 
 // WaitingSteps returns the steps that have tasks to start, in a deterministic order.
-func (a *Accountant) WaitingSteps(now time.Time) []*Step {
-	return a.openSteps(func(s *Step) bool { return s.hasWaitingTask(now) })
+func (tr *Tracker) WaitingSteps(now time.Time) []*Step {
+	return tr.openSteps(func(s *Step) bool { return s.hasWaitingTask(now) })
 }
 
 // CopySteps returns the open steps whose tasks may run in several copies, in the same
 // order.
-func (a *Accountant) CopySteps() []*Step {
-	return a.openSteps(func(s *Step) bool { return s.Spec.Copies && !s.Spec.Gang && !s.Spec.LongRunning })
+func (tr *Tracker) CopySteps() []*Step {
+	return tr.openSteps(func(s *Step) bool { return s.Spec.Copies && !s.Spec.Gang && !s.Spec.LongRunning })
 }
 
 // OpenSteps returns all steps that are ready but not finished, in the same order.
-func (a *Accountant) OpenSteps() []*Step {
-	return a.openSteps(func(*Step) bool { return true })
+func (tr *Tracker) OpenSteps() []*Step {
+	return tr.openSteps(func(*Step) bool { return true })
 }
 
 // Unavailable returns the number of unavailable tasks of a step with long-running tasks.
@@ -235,10 +235,10 @@
 }
 
 // openSteps returns the matching steps among those that are ready but not finished.
-func (a *Accountant) openSteps(match func(*Step) bool) []*Step {
+func (tr *Tracker) openSteps(match func(*Step) bool) []*Step {
 	var found []*Step
-	for _, id := range a.openIDs() {
-		j := a.Jobs[id]
+	for _, id := range tr.openIDs() {
+		j := tr.Jobs[id]
 		if !j.Startable() || j.Queue.Name == "" {
 			continue
 		}
@@ -294,24 +294,24 @@
 // openIDs returns the IDs of the jobs that have not ended, in a deterministic order. The
 // list is cached until it changes: ended jobs are kept for minutes and far outnumber the
 // open ones, so a scan of all jobs would make each decision slower the longer the owner runs.
-func (a *Accountant) openIDs() []string {
-	if a.open != nil {
-		return a.open
+func (tr *Tracker) openIDs() []string {
+	if tr.open != nil {
+		return tr.open
 	}
-	a.open = make([]string, 0, len(a.Jobs))
-	for id, j := range a.Jobs {
+	tr.open = make([]string, 0, len(tr.Jobs))
+	for id, j := range tr.Jobs {
 		if !j.State.Final() {
-			a.open = append(a.open, id)
+			tr.open = append(tr.open, id)
 		}
 	}
-	sort.Strings(a.open)
-	return a.open
+	sort.Strings(tr.open)
+	return tr.open
 }
 
 // jobIDs returns the IDs of all jobs in a deterministic order.
-func (a *Accountant) jobIDs() []string {
-	ids := make([]string, 0, len(a.Jobs))
-	for id := range a.Jobs {
+func (tr *Tracker) jobIDs() []string {
+	ids := make([]string, 0, len(tr.Jobs))
+	for id := range tr.Jobs {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
@@ -319,9 +319,9 @@
 }
 
 // Pending returns the number of open jobs of a queue of which no task has started.
-func (a *Accountant) Pending(queue string) int {
+func (tr *Tracker) Pending(queue string) int {
 	n := 0
-	for _, j := range a.Jobs {
+	for _, j := range tr.Jobs {
 		if j.Spec.Queue == queue && !j.Started && !j.State.Final() {
 			n++
 		}
@@ -331,13 +331,13 @@
 
 // Forget removes the jobs that ended before the given time, once their final state is
 // stored, and returns their IDs.
-func (a *Accountant) Forget(before time.Time) []string {
+func (tr *Tracker) Forget(before time.Time) []string {
 	var ids []string
-	for _, id := range a.jobIDs() {
-		j := a.Jobs[id]
+	for _, id := range tr.jobIDs() {
+		j := tr.Jobs[id]
 		if j.StoredState.Final() && !j.dirty && !j.inFlight && j.EndedAt.Before(before) {
-			delete(a.Jobs, id)
-			a.open = nil
+			delete(tr.Jobs, id)
+			tr.open = nil
 			ids = append(ids, id)
 		}
 	}
--- a/internal/job/accountant/occurrences_test.go
+++ b/internal/job/tracker/occurrences_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -21,7 +21,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
+			tr := newState(t, 3)
 			spec := &specifier.Job{
 				ID: jobID(1), Queue: "q", Steps: []specifier.Step{{Count: tt.count, Needs: oneCore}},
 				Occurrences: 5000, FirstMillis: begin.Add(-time.Hour).UnixMilli(), IntervalMillis: 1,
@@ -29,16 +29,16 @@
 			if err := specifier.Check(spec); err != nil {
 				t.Fatal(err)
 			}
-			a.AddJob(spec, time.Time{}, begin)
-			j := a.Jobs[spec.ID]
+			tr.AddJob(spec, time.Time{}, begin)
+			j := tr.Jobs[spec.ID]
 			if got := len(j.Occurrences); got != tt.open {
 				t.Fatalf("%d occurrences are open, want %d", got, tt.open)
 			}
 			first := j.Occurrences[0]
 			for _, task := range first.Steps[0].Tasks {
-				a.taskDone(task, at(10))
+				tr.taskDone(task, at(10))
 			}
-			a.OpenDue(at(10))
+			tr.OpenDue(at(10))
 			if got := len(j.Occurrences); got != tt.open || j.Next != tt.open+1 || j.Occurrences[0] == first {
 				t.Errorf("%d occurrences are open and %d have been opened, want %d and %d", got, j.Next, tt.open, tt.open+1)
 			}
@@ -62,11 +62,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore})
-			err := a.Restore(j.Spec.ID, []byte(tt.progress), at(10))
-			a.OpenDue(at(20))
-			if got := len(a.WaitingSteps(at(20))); got != tt.waiting || (err == nil) != (tt.waiting > 0) {
+			tr := newState(t, 3)
+			j := addJob(t, tr, 1, specifier.Step{Count: 2, Needs: oneCore})
+			err := tr.Restore(j.Spec.ID, []byte(tt.progress), at(10))
+			tr.OpenDue(at(20))
+			if got := len(tr.WaitingSteps(at(20))); got != tt.waiting || (err == nil) != (tt.waiting > 0) {
 				t.Errorf("%d steps wait, error: %v", got, err)
 			}
 		})
--- a/internal/job/accountant/record.go
+++ b/internal/job/tracker/record.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"encoding/hex"
@@ -75,8 +75,8 @@
 }
 
 // Restore applies the stored progress of a job that was just added.
-func (a *Accountant) Restore(id string, value []byte, now time.Time) error {
-	j := a.Jobs[id]
+func (tr *Tracker) Restore(id string, value []byte, now time.Time) error {
+	j := tr.Jobs[id]
 	if j == nil {
 		return fmt.Errorf("restore progress of job %s: no such job", id)
 	}
@@ -85,8 +85,8 @@
 		j.Unreadable, j.Occurrences = true, nil
 		return fmt.Errorf("restore progress of job %s: %w", id, err)
 	}
-	a.open = nil
-	a.openDue(j, now)
+	tr.open = nil
+	tr.openDue(j, now)
 	return nil
 }
 
@@ -163,15 +163,15 @@
 
 // BeginFlush collects the jobs with unstored progress, and the run ends that may be
 // acknowledged once they are written.
-func (a *Accountant) BeginFlush() *Flush {
+func (tr *Tracker) BeginFlush() *Flush {
 	f := &Flush{}
-	for _, id := range a.jobIDs() {
-		if j := a.Jobs[id]; j.dirty {
+	for _, id := range tr.jobIDs() {
+		if j := tr.Jobs[id]; j.dirty {
 			j.dirty, j.inFlight = false, true
 			f.Jobs = append(f.Jobs, j)
 		}
 	}
-	for _, vm := range a.VMs {
+	for _, vm := range tr.VMs {
 		if vm.EndSeen > vm.EndStored {
 			f.acks = append(f.acks, pendingAck{vm, vm.Incarnation, vm.EndSeen})
 		}
@@ -181,7 +181,7 @@
 
 // EndFlush records the outcome of a flush: states holds the written state of each job
 // by ID. After an error the jobs are written again by the next flush.
-func (a *Accountant) EndFlush(f *Flush, states map[string]JobState, err error) {
+func (tr *Tracker) EndFlush(f *Flush, states map[string]JobState, err error) {
 	for _, j := range f.Jobs {
 		j.inFlight = false
 		if err != nil {
@@ -215,9 +215,9 @@
 // Reconcile marks jobs as reconciled, so that they may start: all of them if every VM has
 // reported, otherwise those for which all runs under earlier owners have certainly ended.
 // It returns how many jobs are left.
-func (a *Accountant) Reconcile(allReported bool, now time.Time) int {
+func (tr *Tracker) Reconcile(allReported bool, now time.Time) int {
 	waiting := 0
-	for _, j := range a.Jobs {
+	for _, j := range tr.Jobs {
 		switch {
 		case j.ReconcileAt.IsZero():
 		case allReported || !now.Before(j.ReconcileAt):
--- a/internal/job/accountant/record_test.go
+++ b/internal/job/tracker/record_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"strings"
@@ -13,10 +13,10 @@
 // takes longer than the time limit of a call. So only the tombstone of an ended job is kept,
 // and a new owner must see from it that none of its tasks may start again.
 func TestTombstoneIsSmall(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 30, Needs: oneCore, Image: "image"})
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 30, Needs: oneCore, Image: "image"})
 	j.Spec.Payload = strings.Repeat("x", specifier.MaxPayloadBytes)
-	a.Cancel(j.Spec.ID, at(10))
+	tr.Cancel(j.Spec.ID, at(10))
 	tombstone, err := j.EncodeTombstone()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/job/accountant/report.go
+++ b/internal/job/tracker/report.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"time"
@@ -83,11 +83,11 @@
 
 // Attach opens a session of a VM's agent. Orders of an earlier session have expired: the
 // agent refuses those that it has not received.
-func (a *Accountant) Attach(info VMInfo, rep Report, now time.Time) (*VM, Changes) {
-	vm := a.VMs[info.Name]
+func (tr *Tracker) Attach(info VMInfo, rep Report, now time.Time) (*VM, Changes) {
+	vm := tr.VMs[info.Name]
 	if vm == nil {
 		vm = &VM{Name: info.Name, Runs: make(map[RunKey]*Run)}
-		a.VMs[info.Name] = vm
+		tr.VMs[info.Name] = vm
 	}
 	restarted := vm.Process != 0 && vm.Process != rep.Process
 	vm.Attached, vm.Process = true, rep.Process
@@ -101,9 +101,9 @@
 			r.Order = orderUnknown
 		}
 	}
-	a.UpdateInfo(vm, info)
+	tr.UpdateInfo(vm, info)
 	rep.OrdersSeen = 0
-	return vm, a.Apply(vm, rep, now)
+	return vm, tr.Apply(vm, rep, now)
 }
 
 // resetOrders discards the numbers of the orders given for a run, and the pace of a
@@ -150,7 +150,7 @@
 
 // UpdateInfo records an agent's description of its VM. Another incarnation of the worker may
 // have another ID and run on another kind of VM.
-func (a *Accountant) UpdateInfo(vm *VM, info VMInfo) {
+func (tr *Tracker) UpdateInfo(vm *VM, info VMInfo) {
 	vm.Zone, vm.Rack, vm.Service, vm.Capacity, vm.WorkerID = info.Zone, info.Rack, info.Service, info.Capacity, info.WorkerID
 	vm.Labels = make(map[string]bool, len(info.Labels))
 	for _, l := range info.Labels {
@@ -159,11 +159,11 @@
 }
 
 // Detach ends a session. The runs keep their resources until their leases have expired.
-func (a *Accountant) Detach(vm *VM) { vm.Attached = false }
+func (tr *Tracker) Detach(vm *VM) { vm.Attached = false }
 
 // Apply applies a report. A run whose order the agent has received and that the report
 // does not list counts as lost.
-func (a *Accountant) Apply(vm *VM, rep Report, now time.Time) Changes {
+func (tr *Tracker) Apply(vm *VM, rep Report, now time.Time) Changes {
 	var c Changes
 	listed := make(map[RunKey]bool, len(rep.Runs))
 	for _, r := range rep.Runs {
@@ -179,29 +179,29 @@
 	for _, e := range rep.Ends {
 		if e.Seq > vm.EndSeen {
 			vm.EndSeen = e.Seq
-			a.EndRun(vm, e.Key, e.Outcome, e.Checkpoint, now)
+			tr.EndRun(vm, e.Key, e.Outcome, e.Checkpoint, now)
 			c.Ended = append(c.Ended, e)
 		}
 	}
 	for _, r := range rep.Runs {
-		if adopted := a.applyRun(vm, r, rep.OrdersSeen, now); adopted != nil {
+		if adopted := tr.applyRun(vm, r, rep.OrdersSeen, now); adopted != nil {
 			c.Adopted = append(c.Adopted, adopted)
 		}
 	}
 	for key, r := range vm.Runs {
 		if !listed[key] && r.Order <= rep.OrdersSeen {
 			delete(r.Step().Tickets, vm.Name) // the worker may have refused the ticket
-			a.dropRun(r, now)
+			tr.dropRun(r, now)
 			c.Lost = append(c.Lost, r)
 		}
 	}
 	return c
 }
 
-func (a *Accountant) applyRun(vm *VM, rep ReportedRun, ordersSeen int64, now time.Time) (adopted *Run) {
+func (tr *Tracker) applyRun(vm *VM, rep ReportedRun, ordersSeen int64, now time.Time) (adopted *Run) {
 	r := vm.Runs[rep.Key]
 	if r == nil {
-		r = a.adopt(vm, rep, now)
+		r = tr.adopt(vm, rep, now)
 		adopted = r
 	}
 	if r.Unconfirmed { // this process of the agent knows the run, and lists it until it has ended
--- a/internal/job/accountant/report_test.go
+++ b/internal/job/tracker/report_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -25,20 +25,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
+			tr := newState(t, 2)
+			j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
 			report := Report{Incarnation: "1", Process: 1, Ready: true}
-			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+			vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 			task := j.Occurrences[0].Steps[0].Tasks[0]
-			a.Place(task, vm, 1, begin)
+			tr.Place(task, vm, 1, begin)
 			if tt.seen {
 				report.OrdersSeen, report.Runs = 1, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-				a.Apply(vm, report, at(5))
+				tr.Apply(vm, report, at(5))
 				report.Runs = nil
 			}
 			report.Process = tt.process
 			for range 2 { // the connection breaks before the stop has arrived
-				a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+				tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 			}
 			if got := len(task.Runs) == 1; got != tt.kept {
 				t.Fatalf("the run is kept: %t, want %t", got, tt.kept)
@@ -50,17 +50,17 @@
 			if !tt.kept {
 				return
 			}
-			order := a.Stop(unconfirmed[0], "unconfirmed", at(10))
+			order := tr.Stop(unconfirmed[0], "unconfirmed", at(10))
 			report.OrdersSeen = order - 1
-			if a.Apply(vm, report, at(20)); len(task.Runs) != 1 {
+			if tr.Apply(vm, report, at(20)); len(task.Runs) != 1 {
 				t.Fatal("the run is removed before the agent has received the stop")
 			}
 			report.OrdersSeen, report.Runs = order, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-			if a.Apply(vm, report, at(30)); len(task.Runs) != 1 || len(vm.UnconfirmedRuns()) != 0 {
+			if tr.Apply(vm, report, at(30)); len(task.Runs) != 1 || len(vm.UnconfirmedRuns()) != 0 {
 				t.Fatal("the run is removed or still unconfirmed while the agent is stopping it")
 			}
 			report.Runs = nil
-			if a.Apply(vm, report, at(40)); len(task.Runs) != 0 || !task.Waits(at(40)) {
+			if tr.Apply(vm, report, at(40)); len(task.Runs) != 0 || !task.Waits(at(40)) {
 				t.Error("the task does not wait after the run was stopped")
 			}
 		})
@@ -71,22 +71,22 @@
 // orders expire, while a stop is in transit. The agent opens another session and still lists
 // the run. The owner must decide the stop again, since nothing else does.
 func TestStopRepeatedInNewSession(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 	report := Report{Incarnation: "1", Process: 1, Ready: true}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
-	a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	tr.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
 	report.OrdersSeen, report.Runs = 1, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-	a.Apply(vm, report, at(5))
-	a.Cancel(jobID(1), at(10))
-	for _, r := range a.Unwanted() {
-		a.Stop(r, "job ended", at(10))
+	tr.Apply(vm, report, at(5))
+	tr.Cancel(jobID(1), at(10))
+	for _, r := range tr.Unwanted() {
+		tr.Stop(r, "job ended", at(10))
 	}
-	if got := len(a.Unwanted()); got != 0 {
+	if got := len(tr.Unwanted()); got != 0 {
 		t.Fatalf("%d stops would be ordered twice in one session", got)
 	}
-	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(20))
-	if got := len(a.Unwanted()); got != 1 {
+	tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(20))
+	if got := len(tr.Unwanted()); got != 1 {
 		t.Errorf("%d runs are to be stopped in the new session, want 1", got)
 	}
 }
@@ -96,16 +96,16 @@
 // owner must not assume a pace for a run that it did not start, nor that an order of a
 // broken session was carried out.
 func TestAdoptedRunHasUnknownPace(t *testing.T) {
-	a := newState(t, 2)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, BestEffort: true})
+	tr := newState(t, 2)
+	addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, BestEffort: true})
 	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	run := vm.Runs[key(1, 0, 0, 1)]
 	if run.Pace != PaceUnknown {
 		t.Errorf("an adopted run has pace %d", run.Pace)
 	}
 	run.Pace = 15
-	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+	tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 	if run.Pace != PaceUnknown {
 		t.Errorf("in a new session the run has pace %d", run.Pace)
 	}
@@ -116,24 +116,24 @@
 // the job's tombstone, without steps, and the agent's next process does not know what the run
 // needs. Until the run has ended, nothing else may start on the VM.
 func TestRunOfUnknownSizeMarksVM(t *testing.T) {
-	a := newState(t, 2)
+	tr := newState(t, 2)
 	ended := specifier.Job{ID: jobID(1), Queue: "q", Ended: string(JobCancelled)}
-	a.AddJob(&ended, time.Time{}, begin)
+	tr.AddJob(&ended, time.Time{}, begin)
 	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 1, 2), Confirmed: true}}}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 	if vm.SizesKnown() {
 		t.Error("the VM counts as having only runs of known size")
 	}
-	if got := len(a.Unwanted()); got != 1 {
+	if got := len(tr.Unwanted()); got != 1 {
 		t.Errorf("%d runs are to be stopped", got)
 	}
 	report.Runs = nil
-	a.Apply(vm, report, at(10))
+	tr.Apply(vm, report, at(10))
 	if !vm.SizesKnown() {
 		t.Error("the VM counts as having a run of unknown size after the run has ended")
 	}
 	report.Runs = []ReportedRun{{Key: key(2, 0, 0, 1), Confirmed: true, Needs: oneCore}}
-	a.Apply(vm, report, at(20))
+	tr.Apply(vm, report, at(20))
 	if !vm.SizesKnown() || vm.Committed != oneCore {
 		t.Errorf("%+v is committed for a run of the size %+v", vm.Committed, oneCore)
 	}
@@ -151,16 +151,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+			tr := newState(t, 2)
+			j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 			task := j.Occurrences[0].Steps[0].Tasks[0]
 			report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
 			if tt.ordered {
-				vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
-				a.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
+				vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+				tr.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
 			}
 			report.Runs[0].Stopping = true
-			a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+			tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 			if got := task.Runs[0].State; got != Stopping || !task.Unavailable() {
 				t.Errorf("the run is %s, unavailable: %t", got, task.Unavailable())
 			}
@@ -171,22 +171,22 @@
 // Guards against a cancelled job that keeps running because its stop, once ordered, is assumed
 // to be carried out.
 func TestIgnoredStopIsOrderedAgain(t *testing.T) {
-	a := newState(t, 2)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	tr := newState(t, 2)
+	addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true, Progress: 100}}}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
-	a.Cancel(jobID(1), at(10))
-	order := a.Stop(a.Unwanted()[0], "job ended", at(10))
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	tr.Cancel(jobID(1), at(10))
+	order := tr.Stop(tr.Unwanted()[0], "job ended", at(10))
 	report.OrdersSeen = order - 1
-	if a.Apply(vm, report, at(20)); len(a.Unwanted()) != 0 {
+	if tr.Apply(vm, report, at(20)); len(tr.Unwanted()) != 0 {
 		t.Fatal("the stop is ordered again while the order is in transit")
 	}
 	report.OrdersSeen, report.Runs[0].Stopping = order, true
-	if a.Apply(vm, report, at(30)); len(a.Unwanted()) != 0 {
+	if tr.Apply(vm, report, at(30)); len(tr.Unwanted()) != 0 {
 		t.Fatal("the stop is ordered again while the agent carries it out")
 	}
 	report.Runs[0].Stopping = false
-	if a.Apply(vm, report, at(40)); len(a.Unwanted()) != 1 {
+	if tr.Apply(vm, report, at(40)); len(tr.Unwanted()) != 1 {
 		t.Error("the stop is not ordered again although the agent has received it and does not stop the run")
 	}
 }
@@ -204,15 +204,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+			tr := newState(t, 2)
+			j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 			task := j.Occurrences[0].Steps[0].Tasks[0]
 			report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}}
-			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+			vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
 			task.Yielded, task.Relocation = true, Relocation{To: "other", Until: at(1000)}
-			a.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
+			tr.Stop(vm.Runs[key(1, 0, 0, 1)], "yields", at(5))
 			report.Runs[0].Stopping = tt.stopping
-			a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+			tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 			if got := task.Yielded && task.MovesElsewhere("vm", at(20)); got != tt.stopping {
 				t.Errorf("yielded: %t, moving to %q", task.Yielded, task.Relocation.To)
 			}
@@ -223,19 +223,19 @@
 // Guards against a long-running task without a run that counts as running: a restarted agent
 // finds the run at its worker, and then a new incarnation of the worker starts.
 func TestRunFoundByRestartedAgentIsLostWithWorker(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
 	task := j.Occurrences[0].Steps[0].Tasks[0]
 	report := Report{Incarnation: "1", Process: 1, Ready: true}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
-	a.Place(task, vm, 1, begin)
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, begin)
+	tr.Place(task, vm, 1, begin)
 	report.Process, report.Runs = 2, []ReportedRun{{Key: key(1, 0, 0, 1), Confirmed: true}}
-	a.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
+	tr.Attach(VMInfo{Name: "vm", Capacity: oneCore}, report, at(10))
 	if len(task.Runs) != 1 || len(vm.UnconfirmedRuns()) != 0 {
 		t.Fatal("the run that the agent lists does not count as confirmed")
 	}
 	report.Incarnation, report.Runs = "2", nil
-	if a.Apply(vm, report, at(1000)); len(task.Runs) != 0 {
+	if tr.Apply(vm, report, at(1000)); len(task.Runs) != 0 {
 		t.Errorf("the run of the earlier incarnation is still %s, and its task never starts again", task.Runs[0].State)
 	}
 }
@@ -244,11 +244,11 @@
 // is being stopped because its start may still be carried out. It reports before the VM with
 // the active run.
 func TestStoppingRunDoesNotReplaceActiveRun(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
-	a.Attach(VMInfo{Name: "vm-b", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Stopping: true, Confirmed: true}}}, begin)
-	a.Attach(VMInfo{Name: "vm-a", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2), Confirmed: true, Progress: 100}}}, at(5))
-	for _, r := range a.Unwanted() {
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	tr.Attach(VMInfo{Name: "vm-b", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1), Stopping: true, Confirmed: true}}}, begin)
+	tr.Attach(VMInfo{Name: "vm-a", Capacity: oneCore}, Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2), Confirmed: true, Progress: 100}}}, at(5))
+	for _, r := range tr.Unwanted() {
 		t.Errorf("run %d on %s is to be stopped", r.Number, r.VM.Name)
 	}
 	if j.Occurrences[0].Steps[0].Tasks[0].Unavailable() {
@@ -259,19 +259,19 @@
 // Guards against a stop that is reported as overdue as soon as it is ordered: its time counted
 // from an earlier stop that the agent did not carry out and that was cleared.
 func TestStopIsOverdueFromItsOwnOrder(t *testing.T) {
-	a := newState(t, 3)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	vm := attach(a, "vm")
-	run := a.Place(a.Find(task(1, 0, 0)), vm, 1, at(0))
+	tr := newState(t, 3)
+	addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+	vm := attach(tr, "vm")
+	run := tr.Place(tr.Find(task(1, 0, 0)), vm, 1, at(0))
 	listed := Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: run.Key(), Confirmed: true}}}
-	listed.OrdersSeen = a.Stop(run, "moves", at(10))
-	a.Apply(vm, listed, at(20)) // the agent has received the order and does not list the run as stopping
-	a.Apply(vm, listed, at(5000))
-	a.Stop(run, "moves", at(5000))
-	if got := a.OverdueStops(time.Second, at(5999)); len(got) != 0 {
+	listed.OrdersSeen = tr.Stop(run, "moves", at(10))
+	tr.Apply(vm, listed, at(20)) // the agent has received the order and does not list the run as stopping
+	tr.Apply(vm, listed, at(5000))
+	tr.Stop(run, "moves", at(5000))
+	if got := tr.OverdueStops(time.Second, at(5999)); len(got) != 0 {
 		t.Errorf("%d stops are overdue too early", len(got))
 	}
-	if got := a.OverdueStops(time.Second, at(6000)); len(got) != 1 {
+	if got := tr.OverdueStops(time.Second, at(6000)); len(got) != 1 {
 		t.Errorf("%d stops are overdue, want 1", len(got))
 	}
 }
--- a/internal/job/accountant/run.go
+++ b/internal/job/tracker/run.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"time"
@@ -7,13 +7,13 @@
 )
 
 // Place starts a run of a task on a VM. Its resources are reserved from now on.
-func (a *Accountant) Place(t *Task, vm *VM, number int64, now time.Time) *Run {
+func (tr *Tracker) Place(t *Task, vm *VM, number int64, now time.Time) *Run {
 	vm.OrderSeq++
 	r := &Run{
 		Task: t, Number: number, VM: vm, State: Ordered, Order: vm.OrderSeq, OrderedAt: now,
 		Pace: fullPace, Checkpoint: t.Checkpoint, Resumed: t.Checkpoint != "", ProgressedAt: now,
 	}
-	a.addRun(r)
+	tr.addRun(r)
 	return r
 }
 
@@ -23,7 +23,7 @@
 const PaceUnknown = -1
 
 // addRun adds a run to its task and VM, and reserves its resources.
-func (a *Accountant) addRun(r *Run) {
+func (tr *Tracker) addRun(r *Run) {
 	t, spec := r.Task, r.Task.Step.Spec
 	t.LastNumber = max(t.LastNumber, r.Number)
 	t.Runs = append(t.Runs, r)
@@ -61,12 +61,12 @@
 }
 
 // NextNumber returns the number of the next run of a task.
-func (a *Accountant) NextNumber(t *Task) int64 { return max(t.LastNumber, a.runFloor) + 1 }
+func (tr *Tracker) NextNumber(t *Task) int64 { return max(t.LastNumber, tr.runFloor) + 1 }
 
 // GangNumber returns the run number for the next start of a gang. It is the same for all
 // of its tasks.
-func (a *Accountant) GangNumber(s *Step) int64 {
-	n := a.runFloor
+func (tr *Tracker) GangNumber(s *Step) int64 {
+	n := tr.runFloor
 	for _, t := range s.Tasks {
 		n = max(n, t.LastNumber)
 	}
@@ -74,7 +74,7 @@
 }
 
 // removeRun removes a run from its task and VM, and frees its resources.
-func (a *Accountant) removeRun(r *Run, now time.Time) {
+func (tr *Tracker) removeRun(r *Run, now time.Time) {
 	t, spec := r.Task, r.Task.Step.Spec
 	delete(r.VM.Runs, r.Key())
 	r.VM.Version++
@@ -99,7 +99,7 @@
 }
 
 // Stop marks a run as being stopped and returns the number of the stop order.
-func (a *Accountant) Stop(r *Run, cause string, now time.Time) int64 {
+func (tr *Tracker) Stop(r *Run, cause string, now time.Time) int64 {
 	r.State, r.StopCause = Stopping, cause
 	if r.StoppedAt.IsZero() {
 		r.StoppedAt = now
@@ -113,9 +113,9 @@
 }
 
 // OverdueStops returns the runs whose stop was first ordered at least the given time ago.
-func (a *Accountant) OverdueStops(after time.Duration, now time.Time) []*Run {
+func (tr *Tracker) OverdueStops(after time.Duration, now time.Time) []*Run {
 	var found []*Run
-	for _, vm := range a.VMs {
+	for _, vm := range tr.VMs {
 		for _, r := range vm.Runs {
 			if !r.StoppedAt.IsZero() && now.Sub(r.StoppedAt) >= after {
 				found = append(found, r)
@@ -127,9 +127,9 @@
 
 // Unwanted returns the runs that should be stopped: their job has ended, their task is
 // done, or their task has another run and allows no copies.
-func (a *Accountant) Unwanted() []*Run {
+func (tr *Tracker) Unwanted() []*Run {
 	var found []*Run
-	for _, vm := range a.VMs {
+	for _, vm := range tr.VMs {
 		for _, r := range vm.Runs {
 			if r.State != Stopping && r.unwanted() {
 				found = append(found, r)
@@ -177,15 +177,15 @@
 )
 
 // EndRun applies the end of a run. The run need not be known.
-func (a *Accountant) EndRun(vm *VM, key RunKey, outcome End, checkpoint string, now time.Time) {
+func (tr *Tracker) EndRun(vm *VM, key RunKey, outcome End, checkpoint string, now time.Time) {
 	r := vm.Runs[key]
-	t := a.Find(key.Task)
+	t := tr.Find(key.Task)
 	delete(vm.unconfirmedStarts, key)
 	if r != nil && outcome == EndDone {
-		a.recordRuntime(r, now)
+		tr.recordRuntime(r, now)
 	}
 	if r != nil {
-		a.removeRun(r, now)
+		tr.removeRun(r, now)
 		t = r.Task
 	}
 	if t == nil {
@@ -205,11 +205,11 @@
 	case EndDone:
 		delete(vm.Health.Failed, key.Task)
 		vm.clearHealth()
-		a.taskDone(t, now)
+		tr.taskDone(t, now)
 	case EndFailed:
 		vm.recordFailure(key.Task, now)
 		t.recordFailedOn(vm.Name)
-		a.taskFailed(t, key.Number, now)
+		tr.taskFailed(t, key.Number, now)
 	case EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost:
 	}
 }
@@ -223,28 +223,28 @@
 
 // DropRuns removes all runs of a VM: a new incarnation of its worker has started, or its
 // leases have certainly expired. The tasks wait again, to resume from their last checkpoint.
-func (a *Accountant) DropRuns(vm *VM, now time.Time) []*Run {
+func (tr *Tracker) DropRuns(vm *VM, now time.Time) []*Run {
 	var lost []*Run
 	for _, r := range vm.Runs {
 		lost = append(lost, r)
 	}
 	for _, r := range lost {
-		a.dropRun(r, now)
+		tr.dropRun(r, now)
 	}
 	return lost
 }
 
-func (a *Accountant) dropRun(r *Run, now time.Time) {
+func (tr *Tracker) dropRun(r *Run, now time.Time) {
 	if r.Checkpoint != "" && r.Task.Step.Spec.Checkpoints {
 		r.Task.Checkpoint = r.Checkpoint
 	}
-	a.removeRun(r, now)
+	tr.removeRun(r, now)
 }
 
 // adopt adds a run that a worker has, or may still receive, and that this owner did not
 // order.
-func (a *Accountant) adopt(vm *VM, rep ReportedRun, now time.Time) *Run {
-	t := a.Find(rep.Key.Task)
+func (tr *Tracker) adopt(vm *VM, rep ReportedRun, now time.Time) *Run {
+	t := tr.Find(rep.Key.Task)
 	r := &Run{
 		Task: t, Number: rep.Key.Number, VM: vm, State: Running, OrderedAt: now, StartedAt: now,
 		Pace: fullPace, Resumed: true, ProgressedAt: now,
@@ -259,7 +259,7 @@
 	if t.Step.Spec.BestEffort {
 		r.Pace = PaceUnknown // an earlier owner may have throttled it
 	}
-	a.addRun(r)
+	tr.addRun(r)
 	return r
 }
 
--- a/internal/job/accountant/runtimes.go
+++ b/internal/job/tracker/runtimes.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import "time"
 
@@ -9,20 +9,20 @@
 )
 
 // RuntimeRatio returns the mean ratio of measured to declared run times of a queue, at least 1.
-func (a *Accountant) RuntimeRatio(queue string) float64 { return max(a.runtimeRatios[queue], 1) }
+func (tr *Tracker) RuntimeRatio(queue string) float64 { return max(tr.runtimeRatios[queue], 1) }
 
 // recordRuntime adds the run time of a completed run to the mean of its queue. Only runs that
 // this owner saw from their start count, not those that were resumed or adopted.
-func (a *Accountant) recordRuntime(r *Run, now time.Time) {
+func (tr *Tracker) recordRuntime(r *Run, now time.Time) {
 	s := r.Step().Spec
 	if s.LongRunning || s.Gang || s.EstimateMillis <= 0 || r.StartedAt.IsZero() || r.Resumed {
 		return
 	}
 	queue := r.Step().Occurrence.Job.Spec.Queue
-	mean, known := a.runtimeRatios[queue]
+	mean, known := tr.runtimeRatios[queue]
 	if !known {
 		mean = 1
 	}
 	sample := min(float64(now.Sub(r.StartedAt))/float64(s.Estimate()), maxRuntimeRatio)
-	a.runtimeRatios[queue] = mean + runtimeRatioSampleWeight*(sample-mean)
+	tr.runtimeRatios[queue] = mean + runtimeRatioSampleWeight*(sample-mean)
 }
--- a/internal/job/accountant/started_test.go
+++ b/internal/job/tracker/started_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -30,18 +30,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-			vm := attach(a, "vm")
+			tr := newState(t, 3)
+			j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+			vm := attach(tr, "vm")
 			if tt.ordered {
-				a.Place(a.Find(task(1, 0, 0)), vm, 1, at(0))
+				tr.Place(tr.Find(task(1, 0, 0)), vm, 1, at(0))
 			}
-			a.Apply(vm, tt.report, at(10))
+			tr.Apply(vm, tt.report, at(10))
 			pending, state := 1, JobQueued
 			if tt.started {
 				pending, state = 0, JobRunning
 			}
-			if got := a.Pending("q"); got != pending || j.ReportedState() != state {
+			if got := tr.Pending("q"); got != pending || j.ReportedState() != state {
 				t.Errorf("%d jobs wait and the job is %s, want %d and %s", got, j.ReportedState(), pending, state)
 			}
 		})
@@ -51,11 +51,11 @@
 // Guards against an unconfirmed start that a new owner treats as a run that the worker has
 // had: it would not be stopped after the agent's process is replaced.
 func TestUnconfirmedRunIsAdoptedAsUnconfirmed(t *testing.T) {
-	a := newState(t, 3)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
+	tr := newState(t, 3)
+	addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
 	report := Report{Incarnation: "1", Process: 1, Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 1)}}}
-	vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, report, at(0))
-	a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 2, Ready: true}, at(10))
+	vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: eightCore}, report, at(0))
+	tr.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 2, Ready: true}, at(10))
 	if got := len(vm.UnconfirmedRuns()); got != 1 {
 		t.Errorf("%d runs are unconfirmed, want 1", got)
 	}
--- a/internal/job/accountant/state.go
+++ b/internal/job/tracker/state.go
@@ -1,8 +1,8 @@
-// Package accountant keeps the state of a cell's jobs: which tasks wait, run and
+// Package tracker keeps the state of a cell's jobs: which tasks wait, run and
 // are done, and which resources of each VM are committed. It uses no clock, network
 // or store: events are passed in with their time, and scheduling decisions read the
 // state. It is not safe for concurrent use.
-package accountant
+package tracker
 
 import (
 	"fmt"
@@ -95,16 +95,16 @@
 }
 
 // SetRelocation records the move of a task that is stopped to be restarted elsewhere.
-func (a *Accountant) SetRelocation(t *Task, m Relocation, now time.Time) {
+func (tr *Tracker) SetRelocation(t *Task, m Relocation, now time.Time) {
 	t.Relocation = m
-	a.moving = append(slices.DeleteFunc(a.moving, func(t *Task) bool { return !t.Moving(now) }), t)
+	tr.moving = append(slices.DeleteFunc(tr.moving, func(t *Task) bool { return !t.Moving(now) }), t)
 }
 
 // MovingTasks returns the tasks for which capacity is held on the VM that they move to.
-func (a *Accountant) MovingTasks(now time.Time) []*Task {
+func (tr *Tracker) MovingTasks(now time.Time) []*Task {
 	var found []*Task
-	for _, t := range a.moving {
-		if t.Moving(now) && t.Step.Occurrence.Job.Startable() && !t.RunsOn(a.VMs[t.Relocation.To]) {
+	for _, t := range tr.moving {
+		if t.Moving(now) && t.Step.Occurrence.Job.Startable() && !t.RunsOn(tr.VMs[t.Relocation.To]) {
 			found = append(found, t)
 		}
 	}
@@ -289,8 +289,8 @@
 	ConsecutiveQuarantines int
 }
 
-// Accountant is the state of a cell.
-type Accountant struct {
+// Tracker is the state of a cell.
+type Tracker struct {
 	Jobs     map[string]*Job
 	VMs      map[string]*VM
 	policy   *specifier.Policy
@@ -302,7 +302,7 @@
 	runtimeRatios map[string]float64 // by queue
 }
 
-// Config holds the settings of an Accountant.
+// Config holds the settings of a Tracker.
 type Config struct {
 	// RunFloor is lower than every run number that this owner assigns, and at least as
 	// high as every number assigned by an earlier owner. The run numbers of a task must
@@ -311,23 +311,23 @@
 	Policy   *specifier.Policy
 }
 
-// New returns an empty Accountant.
-func New(c Config) *Accountant {
+// New returns an empty Tracker.
+func New(c Config) *Tracker {
 	p := c.Policy
 	if p == nil {
 		p = &specifier.Policy{}
 	}
-	return &Accountant{Jobs: make(map[string]*Job), VMs: make(map[string]*VM), policy: p, runFloor: c.RunFloor, runtimeRatios: make(map[string]float64)}
+	return &Tracker{Jobs: make(map[string]*Job), VMs: make(map[string]*VM), policy: p, runFloor: c.RunFloor, runtimeRatios: make(map[string]float64)}
 }
 
 // Policy returns the policy in force.
-func (a *Accountant) Policy() *specifier.Policy { return a.policy }
+func (tr *Tracker) Policy() *specifier.Policy { return tr.policy }
 
 // SetPolicy applies a newer policy. A job whose queue was removed keeps the last
 // settings of the queue.
-func (a *Accountant) SetPolicy(p *specifier.Policy) {
-	a.policy = p
-	for _, j := range a.Jobs {
+func (tr *Tracker) SetPolicy(p *specifier.Policy) {
+	tr.policy = p
+	for _, j := range tr.Jobs {
 		if q, ok := p.QueueByName(j.Spec.Queue); ok {
 			j.Queue = q
 		}
--- a/internal/job/accountant/accountant_test.go
+++ b/internal/job/tracker/tracker_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"errors"
@@ -11,23 +11,23 @@
 )
 
 func TestStepsRunInOrderAndJobEnds(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore}, specifier.Step{Count: 1, Needs: oneCore, After: []int{0}})
-	vm := attach(a, "vm")
-	if got := a.WaitingSteps(begin); len(got) != 1 || got[0].Number != 0 {
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 2, Needs: oneCore}, specifier.Step{Count: 1, Needs: oneCore, After: []int{0}})
+	vm := attach(tr, "vm")
+	if got := tr.WaitingSteps(begin); len(got) != 1 || got[0].Number != 0 {
 		t.Fatalf("waiting steps %v", got)
 	}
 	for i, task := range j.Occurrences[0].Steps[0].Tasks {
-		a.Place(task, vm, a.NextNumber(task), begin)
-		a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: int64(i + 1), Ends: []ReportedEnd{{Seq: int64(i + 1), Key: key(1, 0, i, 1), Outcome: EndDone}}}, at(10))
+		tr.Place(task, vm, tr.NextNumber(task), begin)
+		tr.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: int64(i + 1), Ends: []ReportedEnd{{Seq: int64(i + 1), Key: key(1, 0, i, 1), Outcome: EndDone}}}, at(10))
 	}
-	steps := a.WaitingSteps(at(10))
+	steps := tr.WaitingSteps(at(10))
 	if len(steps) != 1 || steps[0].Number != 1 || j.State != JobRunning {
 		t.Fatalf("waiting steps %v, job %s", steps, j.State)
 	}
-	a.Place(steps[0].Tasks[0], vm, 1, at(10))
-	a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 3, Ends: []ReportedEnd{{Seq: 3, Key: key(1, 1, 0, 1), Outcome: EndDone}}}, at(20))
-	if j.State != JobDone || vm.Committed != (specifier.Resources{}) || len(a.TakeEnded()) != 1 {
+	tr.Place(steps[0].Tasks[0], vm, 1, at(10))
+	tr.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 3, Ends: []ReportedEnd{{Seq: 3, Key: key(1, 1, 0, 1), Outcome: EndDone}}}, at(20))
+	if j.State != JobDone || vm.Committed != (specifier.Resources{}) || len(tr.TakeEnded()) != 1 {
 		t.Errorf("job %s, committed %+v", j.State, vm.Committed)
 	}
 }
@@ -36,24 +36,24 @@
 // reported the end before it was stored and then crashed, so the next owner did not know
 // it. A final state is reported, and an end acknowledged, only once it is stored.
 func TestFinalStateReportedOnceStored(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	vm := attach(a, "vm")
-	a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
-	a.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(10))
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+	vm := attach(tr, "vm")
+	tr.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
+	tr.Apply(vm, Report{Incarnation: "1", Ready: true, OrdersSeen: 1, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(10))
 	if j.ReportedState() != JobRunning || vm.EndStored != 0 {
 		t.Fatalf("state %s reported, end %d acknowledged before the write", j.ReportedState(), vm.EndStored)
 	}
-	f := a.BeginFlush()
-	a.EndFlush(f, nil, errors.New("store unreachable"))
+	f := tr.BeginFlush()
+	tr.EndFlush(f, nil, errors.New("store unreachable"))
 	if j.ReportedState() != JobRunning || vm.EndStored != 0 {
 		t.Fatalf("state %s reported, end %d acknowledged after a failed write", j.ReportedState(), vm.EndStored)
 	}
-	f = a.BeginFlush()
+	f = tr.BeginFlush()
 	if len(f.Jobs) != 1 {
 		t.Fatalf("%d jobs are written again, want 1", len(f.Jobs))
 	}
-	a.EndFlush(f, map[string]JobState{j.Spec.ID: j.State}, nil)
+	tr.EndFlush(f, map[string]JobState{j.Spec.ID: j.State}, nil)
 	if j.ReportedState() != JobDone || vm.EndStored != 1 {
 		t.Errorf("state %s reported, end %d acknowledged", j.ReportedState(), vm.EndStored)
 	}
@@ -61,24 +61,24 @@
 
 // An end that is reported while a write is in flight must wait for the next write.
 func TestEndDuringWriteWaitsForNextWrite(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore})
-	vm := attach(a, "vm")
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 2, Needs: oneCore})
+	vm := attach(tr, "vm")
 	for _, task := range j.Occurrences[0].Steps[0].Tasks {
-		a.Place(task, vm, 1, begin)
+		tr.Place(task, vm, 1, begin)
 	}
 	end := func(seq int64, index int) {
-		a.Apply(vm, Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: seq, Key: key(1, 0, index, 1), Outcome: EndDone}}}, at(10))
+		tr.Apply(vm, Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: seq, Key: key(1, 0, index, 1), Outcome: EndDone}}}, at(10))
 	}
 	end(1, 0)
-	f := a.BeginFlush()
+	f := tr.BeginFlush()
 	state := j.State
 	end(2, 1)
-	a.EndFlush(f, map[string]JobState{j.Spec.ID: state}, nil)
+	tr.EndFlush(f, map[string]JobState{j.Spec.ID: state}, nil)
 	if vm.EndStored != 1 || j.ReportedState() != JobRunning {
 		t.Errorf("end %d acknowledged, job reported as %s", vm.EndStored, j.ReportedState())
 	}
-	if f := a.BeginFlush(); len(f.Jobs) != 1 {
+	if f := tr.BeginFlush(); len(f.Jobs) != 1 {
 		t.Errorf("%d jobs in the next write", len(f.Jobs))
 	}
 }
@@ -102,11 +102,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 2)
-			j := addJob(t, a, 1, specifier.Step{Count: 2, Needs: oneCore, Checkpoints: true})
-			vm := attach(a, "vm")
-			a.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
-			c := a.Apply(vm, tt.report, at(10))
+			tr := newState(t, 2)
+			j := addJob(t, tr, 1, specifier.Step{Count: 2, Needs: oneCore, Checkpoints: true})
+			vm := attach(tr, "vm")
+			tr.Place(j.Occurrences[0].Steps[0].Tasks[0], vm, 1, begin)
+			c := tr.Apply(vm, tt.report, at(10))
 			state := ""
 			if r := vm.Runs[key(1, 0, 0, 1)]; r != nil {
 				state = r.State.String()
@@ -114,7 +114,7 @@
 			if diff := cmp.Diff([]any{tt.state, tt.lost, tt.adopt}, []any{state, len(c.Lost), len(c.Adopted)}); diff != "" {
 				t.Error(diff)
 			}
-			checkCommitted(t, a)
+			checkCommitted(t, tr)
 		})
 	}
 }
@@ -125,26 +125,26 @@
 	tests := []struct {
 		name   string
 		copies bool
-		change func(a *Accountant)
+		change func(tr *Tracker)
 		want   int
 	}{
-		{"two runs of one task", false, func(*Accountant) {}, 1},
-		{"a copy", true, func(*Accountant) {}, 0},
-		{"cancelled", true, func(a *Accountant) { a.Cancel(jobID(1), at(5)) }, 2},
-		{"completed by the other run", true, func(a *Accountant) {
-			a.Apply(a.VMs["one"], Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(5))
+		{"two runs of one task", false, func(*Tracker) {}, 1},
+		{"a copy", true, func(*Tracker) {}, 0},
+		{"cancelled", true, func(tr *Tracker) { tr.Cancel(jobID(1), at(5)) }, 2},
+		{"completed by the other run", true, func(tr *Tracker) {
+			tr.Apply(tr.VMs["one"], Report{Incarnation: "1", Ready: true, Ends: []ReportedEnd{{Seq: 1, Key: key(1, 0, 0, 1), Outcome: EndDone}}}, at(5))
 		}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 2)
-			addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Copies: tt.copies})
+			tr := newState(t, 2)
+			addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, Copies: tt.copies})
 			for i, name := range []string{"one", "two"} {
-				vm := attach(a, name)
-				a.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, int64(i+1)), Confirmed: true}}}, begin)
+				vm := attach(tr, name)
+				tr.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, int64(i+1)), Confirmed: true}}}, begin)
 			}
-			tt.change(a)
-			if got := len(a.Unwanted()); got != tt.want {
+			tt.change(tr)
+			if got := len(tr.Unwanted()); got != tt.want {
 				t.Errorf("%d runs are stopped, want %d", got, tt.want)
 			}
 		})
@@ -152,13 +152,13 @@
 }
 
 func TestFailures(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	longRunning := addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
-	vm := attach(a, "vm")
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+	longRunning := addJob(t, tr, 2, specifier.Step{Count: 1, Needs: oneCore, LongRunning: true})
+	vm := attach(tr, "vm")
 	for run := range int64(3) {
-		a.EndRun(vm, key(1, 0, 0, run+1), EndFailed, "", at(10))
-		a.EndRun(vm, key(2, 0, 0, run+1), EndFailed, "", at(10))
+		tr.EndRun(vm, key(1, 0, 0, run+1), EndFailed, "", at(10))
+		tr.EndRun(vm, key(2, 0, 0, run+1), EndFailed, "", at(10))
 	}
 	if j.State != JobFailed {
 		t.Errorf("the job is %s after the allowed failures", j.State)
@@ -171,27 +171,27 @@
 // Only failed runs count against the limit of a task: a lost VM or an expired lease is
 // not the task's fault.
 func TestOnlyFailedRunsCountAsFailures(t *testing.T) {
-	a := newState(t, 1)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore, Checkpoints: true})
-	vm := attach(a, "vm")
+	tr := newState(t, 1)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore, Checkpoints: true})
+	vm := attach(tr, "vm")
 	for run, outcome := range []End{EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost} {
-		a.EndRun(vm, key(1, 0, 0, int64(run+1)), outcome, "c", at(10))
+		tr.EndRun(vm, key(1, 0, 0, int64(run+1)), outcome, "c", at(10))
 	}
 	task := j.Occurrences[0].Steps[0].Tasks[0]
-	if j.State.Final() || len(task.Failed) != 0 || task.Checkpoint != "c" || a.NextNumber(task) != 6 {
-		t.Errorf("job %s, failed runs %v, checkpoint %q, next run %d", j.State, task.Failed, task.Checkpoint, a.NextNumber(task))
+	if j.State.Final() || len(task.Failed) != 0 || task.Checkpoint != "c" || tr.NextNumber(task) != 6 {
+		t.Errorf("job %s, failed runs %v, checkpoint %q, next run %d", j.State, task.Failed, task.Checkpoint, tr.NextNumber(task))
 	}
 }
 
 func TestRecordKeepsProgress(t *testing.T) {
-	a := newState(t, 3)
+	tr := newState(t, 3)
 	steps := []specifier.Step{{Count: 10, Needs: oneCore}, {Count: 1, Needs: oneCore, After: []int{0}}}
-	j := addJob(t, a, 1, steps...)
-	vm := attach(a, "vm")
+	j := addJob(t, tr, 1, steps...)
+	vm := attach(tr, "vm")
 	for _, i := range []int{0, 3, 9} {
-		a.EndRun(vm, key(1, 0, i, 1), EndDone, "", at(10))
+		tr.EndRun(vm, key(1, 0, i, 1), EndDone, "", at(10))
 	}
-	a.EndRun(vm, key(1, 0, 4, 1), EndFailed, "", at(10))
+	tr.EndRun(vm, key(1, 0, 4, 1), EndFailed, "", at(10))
 	value, err := j.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -215,9 +215,9 @@
 
 func TestRestoreRejectsInvalidRecords(t *testing.T) {
 	for _, value := range []string{"", "{", `{"state":"running","open":[{"number":0,"steps":[]}]}`, `{"state":"running","open":[{"number":0,"steps":[{"done":"xy"}]}]}`} {
-		a := newState(t, 3)
-		addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-		if err := a.Restore(jobID(1), []byte(value), begin); err == nil {
+		tr := newState(t, 3)
+		addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+		if err := tr.Restore(jobID(1), []byte(value), begin); err == nil {
 			t.Errorf("%q was accepted", value)
 		}
 	}
@@ -227,35 +227,35 @@
 // does not know the numbers of runs that were lost with their VM, so its own numbers
 // start above all that earlier owners can have assigned.
 func TestRunNumbersIncreaseAcrossOwners(t *testing.T) {
-	a := New(Config{RunFloor: 2000, Policy: &specifier.Policy{}})
+	tr := New(Config{RunFloor: 2000, Policy: &specifier.Policy{}})
 	spec := &specifier.Job{ID: jobID(1), Steps: []specifier.Step{{Count: 2, Needs: oneCore, Gang: true}}}
-	a.AddJob(spec, at(5000), begin)
-	s := a.Jobs[spec.ID].Occurrences[0].Steps[0]
-	vm := attach(a, "vm")
-	a.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2005), Confirmed: true}}}, begin)
-	if got := a.NextNumber(s.Tasks[1]); got != 2001 {
+	tr.AddJob(spec, at(5000), begin)
+	s := tr.Jobs[spec.ID].Occurrences[0].Steps[0]
+	vm := attach(tr, "vm")
+	tr.Apply(vm, Report{Incarnation: "1", Ready: true, Runs: []ReportedRun{{Key: key(1, 0, 0, 2005), Confirmed: true}}}, begin)
+	if got := tr.NextNumber(s.Tasks[1]); got != 2001 {
 		t.Errorf("first run has number %d", got)
 	}
-	if got := a.GangNumber(s); got != 2006 {
+	if got := tr.GangNumber(s); got != 2006 {
 		t.Errorf("the gang's next run has number %d", got)
 	}
 }
 
 func TestOccurrences(t *testing.T) {
-	a := newState(t, 2)
+	tr := newState(t, 2)
 	spec := &specifier.Job{ID: jobID(1), Queue: "q", Occurrences: 3, FirstMillis: at(100).UnixMilli(), IntervalMillis: 100, Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}
-	a.AddJob(spec, time.Time{}, begin)
-	j := a.Jobs[spec.ID]
-	vm := attach(a, "vm")
+	tr.AddJob(spec, time.Time{}, begin)
+	j := tr.Jobs[spec.ID]
+	vm := attach(tr, "vm")
 	for i, millis := range []int{50, 100, 250, 300} {
-		a.OpenDue(at(millis))
+		tr.OpenDue(at(millis))
 		if want := []int{0, 1, 2, 3}[i]; j.Next != want {
 			t.Errorf("%d occurrences were opened after %d ms, want %d", j.Next, millis, want)
 		}
 	}
 	for k := range 3 {
 		id := specifier.TaskID{Job: spec.ID, Occurrence: k}
-		a.EndRun(vm, RunKey{id, 1}, EndDone, "", at(400))
+		tr.EndRun(vm, RunKey{id, 1}, EndDone, "", at(400))
 		if done := j.State == JobDone; done != (k == 2) {
 			t.Errorf("the job is %s after %d occurrences", j.State, k+1)
 		}
@@ -263,9 +263,9 @@
 }
 
 // checkCommitted compares the committed resources of each VM with those of its runs.
-func checkCommitted(t *testing.T, a *Accountant) {
+func checkCommitted(t *testing.T, tr *Tracker) {
 	t.Helper()
-	for _, vm := range a.VMs {
+	for _, vm := range tr.VMs {
 		var committed specifier.Resources
 		for _, r := range vm.Runs {
 			committed = committed.Add(r.Step().Spec.Committed())
@@ -280,9 +280,9 @@
 // failures: an end is stored, the owner crashes before it acknowledges it, and the worker
 // reports it to the next owner, which counts it a second time.
 func TestFailureReportedTwiceCountsOnce(t *testing.T) {
-	a := newState(t, 2)
-	j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	a.EndRun(attach(a, "vm"), key(1, 0, 0, 1), EndFailed, "", at(10))
+	tr := newState(t, 2)
+	j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+	tr.EndRun(attach(tr, "vm"), key(1, 0, 0, 1), EndFailed, "", at(10))
 	value, err := j.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -301,13 +301,13 @@
 // Jobs from before a change of owner wait until each VM has reported or its leases have
 // expired. Jobs submitted later wait only for the lease of the earlier owner.
 func TestReconcile(t *testing.T) {
-	a := newState(t, 2)
+	tr := newState(t, 2)
 	for i, reconciled := range []time.Time{at(7000), at(2000), {}} {
-		a.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconciled, begin)
+		tr.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconciled, begin)
 	}
 	for _, tt := range []struct{ millis, startable, waiting int }{{1999, 1, 2}, {2000, 2, 1}, {7000, 3, 0}} {
-		waiting := a.Reconcile(false, at(tt.millis))
-		if got := len(a.WaitingSteps(at(tt.millis))); got != tt.startable || waiting != tt.waiting {
+		waiting := tr.Reconcile(false, at(tt.millis))
+		if got := len(tr.WaitingSteps(at(tt.millis))); got != tt.startable || waiting != tt.waiting {
 			t.Errorf("%d jobs may start and %d wait after %d ms", got, waiting, tt.millis)
 		}
 	}
@@ -321,24 +321,24 @@
 // Guards against an owner whose decisions get slower with its running time, or that crashes:
 // the list of open jobs still contains jobs that have ended or were removed.
 func TestEndedJobsLeaveOpenList(t *testing.T) {
-	a := newState(t, 2)
-	addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-	addJob(t, a, 2, specifier.Step{Count: 1, Needs: oneCore})
-	if got := len(a.openIDs()); got != 2 {
+	tr := newState(t, 2)
+	addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+	addJob(t, tr, 2, specifier.Step{Count: 1, Needs: oneCore})
+	if got := len(tr.openIDs()); got != 2 {
 		t.Fatalf("%d jobs are open", got)
 	}
-	a.Cancel(jobID(1), at(10))
-	if got := a.openIDs(); len(got) != 1 || got[0] != jobID(2) {
+	tr.Cancel(jobID(1), at(10))
+	if got := tr.openIDs(); len(got) != 1 || got[0] != jobID(2) {
 		t.Errorf("open jobs are %v", got)
 	}
-	if err := a.Restore(jobID(2), []byte(`{"state":"cancelled"}`), at(20)); err != nil {
+	if err := tr.Restore(jobID(2), []byte(`{"state":"cancelled"}`), at(20)); err != nil {
 		t.Fatal(err)
 	}
-	if got := a.openIDs(); len(got) != 0 {
+	if got := tr.openIDs(); len(got) != 0 {
 		t.Errorf("open jobs are %v after a record of an ended job was restored", got)
 	}
-	a.Forget(at(60_000))
-	if got := len(a.WaitingSteps(at(60_000))); got != 0 {
+	tr.Forget(at(60_000))
+	if got := len(tr.WaitingSteps(at(60_000))); got != 0 {
 		t.Errorf("%d steps wait", got)
 	}
 }
--- a/internal/job/accountant/unconfirmed.go
+++ b/internal/job/tracker/unconfirmed.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import "time"
 
--- a/internal/job/accountant/unconfirmed_test.go
+++ b/internal/job/tracker/unconfirmed_test.go
@@ -1,4 +1,4 @@
-package accountant
+package tracker
 
 import (
 	"testing"
@@ -26,8 +26,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			vm := attach(a, "vm")
+			tr := newState(t, 3)
+			vm := attach(tr, "vm")
 			now := begin
 			for _, r := range tt.reports {
 				now = now.Add(time.Second)
@@ -35,9 +35,9 @@
 					r.Incarnation = "1"
 				}
 				if r.Process != vm.Process {
-					a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, r, now)
+					tr.Attach(VMInfo{Name: "vm", Capacity: eightCore}, r, now)
 				} else {
-					a.Apply(vm, r, now)
+					tr.Apply(vm, r, now)
 				}
 			}
 			got := vm.InheritedStarts(now)
@@ -48,7 +48,7 @@
 				t.Errorf("inherited %+v", got)
 			}
 			now = begin.Add(UnconfirmedStartMaxAge + 2*time.Second)
-			a.Apply(vm, Report{Incarnation: vm.Incarnation, Process: vm.Process}, now)
+			tr.Apply(vm, Report{Incarnation: vm.Incarnation, Process: vm.Process}, now)
 			if got := vm.InheritedStarts(now); len(got) != 0 {
 				t.Errorf("inherited %+v after the limit for unanswered starts", got)
 			}
@@ -70,12 +70,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newState(t, 3)
-			j := addJob(t, a, 1, specifier.Step{Count: 1, Needs: oneCore})
-			vm, _ := a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 1, Ready: true}, at(0))
-			waiting := a.Find(task(1, 0, 0))
-			a.Place(waiting, vm, 1, at(0))
-			a.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: tt.incarnation, Process: 2, Ready: true}, at(10))
+			tr := newState(t, 3)
+			j := addJob(t, tr, 1, specifier.Step{Count: 1, Needs: oneCore})
+			vm, _ := tr.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: "1", Process: 1, Ready: true}, at(0))
+			waiting := tr.Find(task(1, 0, 0))
+			tr.Place(waiting, vm, 1, at(0))
+			tr.Attach(VMInfo{Name: "vm", Capacity: eightCore}, Report{Incarnation: tt.incarnation, Process: 2, Ready: true}, at(10))
 			if got := len(vm.UnconfirmedRuns()); got != tt.kept || j.runs() != tt.kept {
 				t.Errorf("%d runs are kept, %d of them unconfirmed, want %d", j.runs(), got, tt.kept)
 			}
--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/standin/server"
 	"bamboospread/internal/worker/guardian"
 	"bamboospread/internal/worker/steerer"
@@ -115,7 +115,7 @@
 		return refusal(guardian.RefusedMalformed)
 	}
 	if r != nil {
-		e.recordLocked(Event{Kind: "end", Task: c.Task, Run: r.number, Outcome: string(accountant.EndLost)})
+		e.recordLocked(Event{Kind: "end", Task: c.Task, Run: r.number, Outcome: string(tracker.EndLost)})
 	}
 	r = &run{task: c.Task, number: c.Run, payload: p, pace: 100}
 	if ms, ok := strings.CutPrefix(c.Checkpoint, checkpointPrefix); ok {
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/standin/recorder"
 	"bamboospread/internal/standin/server"
 	"bamboospread/internal/worker/guardian"
@@ -132,7 +132,7 @@
 
 func (e *Executor) startIncarnationLocked() {
 	for _, key := range e.sortedTasksLocked() {
-		e.recordLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, Outcome: string(accountant.EndLost)})
+		e.recordLocked(Event{Kind: "end", Task: key, Run: e.runs[key].number, Outcome: string(tracker.EndLost)})
 	}
 	e.incarnation++
 	e.startedAt, e.advancedAt = e.config.Now(), e.config.Now()
@@ -196,10 +196,10 @@
 		r := e.runs[key]
 		switch {
 		case leaseExpired:
-			e.endLocked(r, accountant.EndLapsed)
+			e.endLocked(r, tracker.EndLapsed)
 		case !r.stopAt.IsZero():
 			if !now.Before(r.stopAt) {
-				e.endLocked(r, accountant.EndStopped)
+				e.endLocked(r, tracker.EndStopped)
 			}
 		default:
 			e.advanceRunLocked(r, elapsed)
@@ -222,12 +222,12 @@
 	}
 	switch {
 	case e.faults.FailAll && r.progress >= failDelay:
-		e.endLocked(r, accountant.EndFailed)
+		e.endLocked(r, tracker.EndFailed)
 	case runTime < 0 || r.progress < runTime:
 	case r.payload.Fail:
-		e.endLocked(r, accountant.EndFailed)
+		e.endLocked(r, tracker.EndFailed)
 	default:
-		e.endLocked(r, accountant.EndDone)
+		e.endLocked(r, tracker.EndDone)
 	}
 }
 
@@ -240,7 +240,7 @@
 	return keys
 }
 
-func (e *Executor) endLocked(r *run, outcome accountant.End) {
+func (e *Executor) endLocked(r *run, outcome tracker.End) {
 	e.seq++
 	e.highestEnded[r.task] = max(e.highestEnded[r.task], r.number)
 	delete(e.runs, r.task)
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -75,7 +75,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	Outcome    string `json:"how"` // an accountant.End
+	Outcome    string `json:"how"` // an tracker.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
@@ -166,7 +166,7 @@
 // job, which does not prove that it was never accepted.
 type WorkStateReply struct {
 	Known bool   `json:"known"`
-	State string `json:"state,omitempty"` // an accountant.JobState
+	State string `json:"state,omitempty"` // an tracker.JobState
 }
 
 // WorkPendingRequest asks how many jobs of a queue have not started.
--- a/internal/worker/guardian/env_test.go
+++ b/internal/worker/guardian/env_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/messenger"
 )
@@ -27,7 +27,7 @@
 	mu                sync.Mutex
 	incarnation       string
 	epoch             int64
-	runs              map[accountant.RunKey]bool
+	runs              map[tracker.RunKey]bool
 	ends              []ListedEnd
 	starts            []StartCall
 	stops             []StopCall
@@ -46,7 +46,7 @@
 }
 
 func newFakeWorker() *fakeWorker {
-	return &fakeWorker{incarnation: "incarnation-1", runs: make(map[accountant.RunKey]bool), startedAt: time.Now()}
+	return &fakeWorker{incarnation: "incarnation-1", runs: make(map[tracker.RunKey]bool), startedAt: time.Now()}
 }
 
 var errNoAnswer = errors.New("no answer")
@@ -67,7 +67,7 @@
 		return ErrRefused{RefusedEpoch}
 	}
 	f.epoch = c.Epoch
-	f.runs[accountant.RunKey{Task: c.Task, Number: c.Run}] = true
+	f.runs[tracker.RunKey{Task: c.Task, Number: c.Run}] = true
 	return nil
 }
 
@@ -97,7 +97,7 @@
 		f.ignoredStops--
 		return nil
 	}
-	delete(f.runs, accountant.RunKey{Task: c.Task, Number: c.Run})
+	delete(f.runs, tracker.RunKey{Task: c.Task, Number: c.Run})
 	return nil
 }
 
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/messenger"
 )
@@ -64,8 +64,8 @@
 	vmInfo            *messenger.WorkVMInfo
 	incarnation       string // of the worker; empty until first contact
 	leaving           bool
-	runs              map[accountant.RunKey]*run
-	unconfirmedStarts map[accountant.RunKey]unconfirmedStart // starts without an answer
+	runs              map[tracker.RunKey]*run
+	unconfirmedStarts map[tracker.RunKey]unconfirmedStart // starts without an answer
 	ends              []ListedEnd
 	endsStored        int64
 	epoch             int64
@@ -94,7 +94,7 @@
 func New(c Config) *Guardian {
 	now := c.Now()
 	return &Guardian{
-		config: c, wake: make(chan struct{}, 1), runs: make(map[accountant.RunKey]*run), unconfirmedStarts: make(map[accountant.RunKey]unconfirmedStart), runCtx: context.Background(),
+		config: c, wake: make(chan struct{}, 1), runs: make(map[tracker.RunKey]*run), unconfirmedStarts: make(map[tracker.RunKey]unconfirmedStart), runCtx: context.Background(),
 		session: now.UnixMilli(), process: now.UnixMilli(),
 		// An earlier process may have requested the longest lease just before it ended.
 		// Without this, a single unanswered poll before the first lease of this process would
@@ -315,7 +315,7 @@
 		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": n.Task, "error": errText(err)})
 		return
 	}
-	if r := g.runs[accountant.RunKey{Task: id, Number: n.Run}]; r != nil {
+	if r := g.runs[tracker.RunKey{Task: id, Number: n.Run}]; r != nil {
 		r.needs, r.needsKnown = *n.Needs, true
 	}
 }
--- a/internal/worker/guardian/guardian_test.go
+++ b/internal/worker/guardian/guardian_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -15,7 +15,7 @@
 func TestNoReportBeforeFirstPoll(t *testing.T) {
 	worker := newFakeWorker()
 	worker.epoch = 3
-	worker.runs[accountant.RunKey{Task: taskID(0), Number: 2001}] = true
+	worker.runs[tracker.RunKey{Task: taskID(0), Number: 2001}] = true
 	e := newTestEnv(t, worker)
 	time.Sleep(300 * time.Millisecond)
 	if rep, ok := e.g.Report(0); ok {
@@ -129,7 +129,7 @@
 	e.order(1, messenger.WorkStart, 0, 1)
 	e.until("a run", func() bool { return e.confirmed() == 1 })
 	worker.withLock(func() {
-		worker.runs = make(map[accountant.RunKey]bool)
+		worker.runs = make(map[tracker.RunKey]bool)
 		worker.ends = []ListedEnd{{Seq: 1, Task: taskID(0), Run: 1, Outcome: "done"}}
 	})
 	e.until("an end", func() bool { return len(e.report().Ends) == 1 })
--- a/internal/worker/guardian/orders.go
+++ b/internal/worker/guardian/orders.go
@@ -7,8 +7,8 @@
 	"math"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/pauser"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/messenger"
@@ -77,12 +77,12 @@
 			g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": order.Task, "error": err.Error()})
 			continue
 		}
-		g.executeLocked(accountant.RunKey{Task: id, Number: order.Run}, order)
+		g.executeLocked(tracker.RunKey{Task: id, Number: order.Run}, order)
 	}
 	return nil
 }
 
-func (g *Guardian) executeLocked(key accountant.RunKey, o messenger.WorkOrder) {
+func (g *Guardian) executeLocked(key tracker.RunKey, o messenger.WorkOrder) {
 	switch o.Kind {
 	case messenger.WorkStart:
 		if reason := g.rejectReasonLocked(o); reason != "" {
@@ -135,7 +135,7 @@
 // start sends a start to the worker once. Each copy of an unanswered call may be carried out
 // separately, and a new incarnation of the worker has no record of a copy carried out before.
 // Polls show afterwards whether the worker has the run; if none does, the run is stopped.
-func (g *Guardian) start(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) {
+func (g *Guardian) start(ctx context.Context, key tracker.RunKey, incarnation string, o messenger.WorkOrder) {
 	call, err := g.sendStart(ctx, key, incarnation, o)
 	if ctx.Err() != nil { // the agent ends, or the run was stopped or ended with its incarnation
 		if err != nil {
@@ -165,7 +165,7 @@
 
 // sendStart makes the call of a start. It is repeated only while no process listens at the
 // worker's address, as nothing has been sent then.
-func (g *Guardian) sendStart(ctx context.Context, key accountant.RunKey, incarnation string, o messenger.WorkOrder) (call StartCall, err error) {
+func (g *Guardian) sendStart(ctx context.Context, key tracker.RunKey, incarnation string, o messenger.WorkOrder) (call StartCall, err error) {
 	for range startAttempts {
 		call = StartCall{Task: key.Task, Run: key.Number, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Incarnation: incarnation}
 		g.mu.Lock()
@@ -185,7 +185,7 @@
 }
 
 // recordStartAnswer records that a start was answered. A nil change removes the run.
-func (g *Guardian) recordStartAnswer(key accountant.RunKey, change func(*run)) {
+func (g *Guardian) recordStartAnswer(key tracker.RunKey, change func(*run)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.runs[key]
@@ -205,7 +205,7 @@
 }
 
 // stopLocked begins to stop a run, whether or not the run has reached the worker.
-func (g *Guardian) stopLocked(key accountant.RunKey, r *run, cause string) {
+func (g *Guardian) stopLocked(key tracker.RunKey, r *run, cause string) {
 	if r.state == stopping {
 		return
 	}
@@ -219,7 +219,7 @@
 
 // stop sends a stop to the worker until it is answered. From then on the worker refuses the
 // run, and a poll shows whether the run still occupies capacity.
-func (g *Guardian) stop(ctx context.Context, key accountant.RunKey) {
+func (g *Guardian) stop(ctx context.Context, key tracker.RunKey) {
 	pause := callPause
 	for ctx.Err() == nil {
 		g.mu.Lock()
@@ -257,7 +257,7 @@
 
 // setPaceLocked sends a new pace to the worker. Only one goroutine per run sends paces, so
 // that the last pace ordered is the last one to arrive.
-func (g *Guardian) setPaceLocked(key accountant.RunKey, r *run, percent int) {
+func (g *Guardian) setPaceLocked(key tracker.RunKey, r *run, percent int) {
 	r.pace = percent
 	if !r.sendingPace {
 		r.sendingPace = true
@@ -268,7 +268,7 @@
 // sendPace sends the last ordered pace to the worker until it is answered. Without retries, a
 // run whose call was lost would stall, or interfere with its neighbours, until the owner has
 // a reason to order another pace.
-func (g *Guardian) sendPace(ctx context.Context, key accountant.RunKey, r *run) {
+func (g *Guardian) sendPace(ctx context.Context, key tracker.RunKey, r *run) {
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		percent, epoch, done := r.pace, g.epoch, g.runs[key] != r || r.state != running
@@ -298,7 +298,7 @@
 	var refused ErrRefused
 	final := errors.As(err, &refused) && !refused.Reason.retryable()
 	if err != nil && !errors.As(err, &refused) {
-		r.latePaceUntil = g.config.Now().Add(accountant.UnconfirmedStartMaxAge)
+		r.latePaceUntil = g.config.Now().Add(tracker.UnconfirmedStartMaxAge)
 	}
 	if (err == nil || final) && r.pace == percent {
 		r.sendingPace = false
@@ -313,7 +313,7 @@
 
 // startRepeatingPace repeats the current pace for as long as an earlier, unanswered one may
 // still be carried out after it.
-func (g *Guardian) startRepeatingPace(ctx context.Context, key accountant.RunKey, r *run) {
+func (g *Guardian) startRepeatingPace(ctx context.Context, key tracker.RunKey, r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.repeatingPace || !g.config.Now().Before(r.latePaceUntil) {
@@ -323,7 +323,7 @@
 	go g.repeatPace(ctx, key, r)
 }
 
-func (g *Guardian) repeatPace(ctx context.Context, key accountant.RunKey, r *run) {
+func (g *Guardian) repeatPace(ctx context.Context, key tracker.RunKey, r *run) {
 	for pauser.Pause(ctx, paceRepeatInterval) == nil {
 		g.mu.Lock()
 		done := g.runs[key] != r || r.state != running || g.config.Now().Sub(r.latePaceUntil) >= paceRepeatInterval
--- a/internal/worker/guardian/poll.go
+++ b/internal/worker/guardian/poll.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/pauser"
 	"bamboospread/internal/kernel/reporter"
 )
@@ -197,9 +197,9 @@
 // applyRunsAndEndsLocked applies the runs and ends of a poll and reports whether they contain
 // news other than measurements.
 func (g *Guardian) applyRunsAndEndsLocked(status Status, from pollStart) (news bool) {
-	listed := make(map[accountant.RunKey]bool, len(status.Runs))
+	listed := make(map[tracker.RunKey]bool, len(status.Runs))
 	for _, s := range status.Runs {
-		key := accountant.RunKey{Task: s.Task, Number: s.Run}
+		key := tracker.RunKey{Task: s.Task, Number: s.Run}
 		listed[key] = true
 		r := g.runs[key]
 		if r == nil {
@@ -230,7 +230,7 @@
 // dropLostRunsLocked removes the runs that the worker does not have and will not get, and
 // reports whether there were any. A poll sent after the start or stop was answered, or after
 // the start has expired, shows whether the worker has the run.
-func (g *Guardian) dropLostRunsLocked(listed map[accountant.RunKey]bool, clock time.Duration, from pollStart) (dropped bool) {
+func (g *Guardian) dropLostRunsLocked(listed map[tracker.RunKey]bool, clock time.Duration, from pollStart) (dropped bool) {
 	for key, r := range g.runs {
 		if !listed[key] && (r.pollIsConclusive(from.sentAt) || r.startExpired(from.clock)) {
 			delete(g.runs, key)
@@ -249,7 +249,7 @@
 
 // repeatStopLocked repeats a stop that was answered, if a poll sent long afterwards still
 // lists the run.
-func (g *Guardian) repeatStopLocked(key accountant.RunKey, r *run, pollSentAt time.Time) {
+func (g *Guardian) repeatStopLocked(key tracker.RunKey, r *run, pollSentAt time.Time) {
 	late := pollSentAt.Sub(r.answeredAt)
 	if r.state != stopping || !r.stopped || late <= g.config.StopTime+stopSlack {
 		return
@@ -288,7 +288,7 @@
 			continue
 		}
 		g.ends = append(g.ends, e)
-		key := accountant.RunKey{Task: e.Task, Number: e.Run}
+		key := tracker.RunKey{Task: e.Task, Number: e.Run}
 		delete(g.unconfirmedStarts, key)
 		if r := g.runs[key]; r != nil {
 			if r.cancel != nil {
--- a/internal/worker/guardian/poll_rate_test.go
+++ b/internal/worker/guardian/poll_rate_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -22,7 +22,7 @@
 	e.until("two runs", func() bool { return e.confirmed() == 2 })
 	end := func(seq int64, index int) {
 		worker.withLock(func() {
-			delete(worker.runs, accountant.RunKey{Task: taskID(index), Number: 1})
+			delete(worker.runs, tracker.RunKey{Task: taskID(index), Number: 1})
 			worker.ends = append(worker.ends, ListedEnd{Seq: seq, Task: taskID(index), Run: 1, Outcome: "done"})
 		})
 	}
--- a/internal/worker/guardian/stale_state_test.go
+++ b/internal/worker/guardian/stale_state_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -141,7 +141,7 @@
 	e.g.Follow(2)
 	worker.withLock(func() {
 		worker.unresponsive = false
-		worker.runs[accountant.RunKey{Task: taskID(0), Number: 1}] = true // a late start
+		worker.runs[tracker.RunKey{Task: taskID(0), Number: 1}] = true // a late start
 	})
 	if rep := e.report(); len(rep.Runs) != 1 || !rep.Ready {
 		t.Errorf("reported %+v", rep)
--- a/internal/worker/guardian/unanswered_start_test.go
+++ b/internal/worker/guardian/unanswered_start_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -49,7 +49,7 @@
 	worker.withLock(func() { worker.lostStarts = 1000 })
 	e.order(1, messenger.WorkStart, 1, 1)
 	worker.withLock(func() {
-		worker.incarnation, worker.runs, worker.epoch = "incarnation-2", make(map[accountant.RunKey]bool), 0
+		worker.incarnation, worker.runs, worker.epoch = "incarnation-2", make(map[tracker.RunKey]bool), 0
 	})
 	e.until("report of the new incarnation without runs", func() bool {
 		rep := e.report()
@@ -136,7 +136,7 @@
 func TestRunsSurviveAgentRestart(t *testing.T) {
 	worker := newFakeWorker()
 	worker.epoch = 3
-	worker.runs[accountant.RunKey{Task: taskID(0), Number: 2001}] = true
+	worker.runs[tracker.RunKey{Task: taskID(0), Number: 2001}] = true
 	e := newTestEnv(t, worker)
 	e.g.Follow(3)
 	e.until("the run", func() bool { return len(e.report().Runs) == 1 })
