--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"bamboospread/internal/job/accountant"
 	"bamboospread/internal/job/specifier"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/kernel/pauser"
 	"bamboospread/internal/kernel/reporter"
 	"bamboospread/internal/wire/messenger"
@@ -19,7 +19,7 @@
 	incarnation string // latest incarnation of the worker that got the start or was asked to refuse it
 }
 
-func (g *Guardian) recordUnconfirmedStart(key accountant.RunKey) {
+func (g *Guardian) recordUnconfirmedStart(key tracker.RunKey) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.recordUnconfirmedStartLocked(key)
@@ -27,7 +27,7 @@
 
 // recordUnconfirmedStartLocked records a start that was not answered, even if it was stopped
 // afterwards: the next incarnation of the worker has no record of the stop.
-func (g *Guardian) recordUnconfirmedStartLocked(key accountant.RunKey) {
+func (g *Guardian) recordUnconfirmedStartLocked(key tracker.RunKey) {
 	now := g.config.Now()
 	if r := g.runs[key]; r != nil {
 		r.startCallEndedAt = now
@@ -39,7 +39,7 @@
 func (g *Guardian) dropExpiredStartsLocked() {
 	now := g.config.Now()
 	for k, d := range g.unconfirmedStarts {
-		if now.Sub(d.sentAt) >= accountant.UnconfirmedStartMaxAge {
+		if now.Sub(d.sentAt) >= tracker.UnconfirmedStartMaxAge {
 			delete(g.unconfirmedStarts, k)
 		}
 	}
@@ -63,7 +63,7 @@
 		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": d.Task, "error": err.Error()})
 		return
 	}
-	key := accountant.RunKey{Task: id, Number: d.Run}
+	key := tracker.RunKey{Task: id, Number: d.Run}
 	if _, known := g.unconfirmedStarts[key]; known || g.runs[key] != nil && g.runs[key].confirmed {
 		return
 	}
@@ -88,12 +88,12 @@
 }
 
 // fence asks one incarnation of the worker to refuse a start, until it answers.
-func (g *Guardian) fence(ctx context.Context, key accountant.RunKey, incarnation string) {
+func (g *Guardian) fence(ctx context.Context, key tracker.RunKey, incarnation string) {
 	pause := callPause
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		s, ok := g.unconfirmedStarts[key]
-		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= accountant.UnconfirmedStartMaxAge
+		done := !ok || s.incarnation != incarnation || g.config.Now().Sub(s.sentAt) >= tracker.UnconfirmedStartMaxAge
 		epoch := g.epoch
 		g.mu.Unlock()
 		if done {
--- a/internal/worker/guardian/unconfirmed_starts_test.go
+++ b/internal/worker/guardian/unconfirmed_starts_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bamboospread/internal/job/accountant"
+	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/wire/messenger"
 )
 
@@ -21,13 +21,13 @@
 	}{
 		{"may still be carried out", time.Second, false, 1, 1},
 		{"carried out", time.Second, true, 0, 0},
-		{"expired", accountant.UnconfirmedStartMaxAge, false, 0, 0},
+		{"expired", tracker.UnconfirmedStartMaxAge, false, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			worker := newFakeWorker()
 			if tt.had {
-				worker.runs[accountant.RunKey{Task: taskID(0), Number: 7}] = true
+				worker.runs[tracker.RunKey{Task: taskID(0), Number: 7}] = true
 			}
 			e := newTestEnv(t, worker)
 			e.g.Follow(1)
@@ -38,7 +38,7 @@
 			}})
 			e.expectStops(tt.stops)
 			worker.withLock(func() {
-				worker.incarnation, worker.epoch, worker.stops, worker.runs = "incarnation-2", 0, nil, make(map[accountant.RunKey]bool)
+				worker.incarnation, worker.epoch, worker.stops, worker.runs = "incarnation-2", 0, nil, make(map[tracker.RunKey]bool)
 			})
 			e.until("report of the next incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
 			e.expectStops(tt.next)
@@ -80,6 +80,6 @@
 	if got := e.report().UnconfirmedStarts; len(got) != 1 || got[0].Task != taskID(0).String() || got[0].Run != 1 {
 		t.Fatalf("reported unconfirmed starts %+v", got)
 	}
-	worker.withLock(func() { worker.runs[accountant.RunKey{Task: taskID(0), Number: 1}] = true })
+	worker.withLock(func() { worker.runs[tracker.RunKey{Task: taskID(0), Number: 1}] = true })
 	e.until("end of the unconfirmed start", func() bool { return len(e.report().UnconfirmedStarts) == 0 })
 }
--- a/internal/worker/guardian/worker.go
+++ b/internal/worker/guardian/worker.go
@@ -78,7 +78,7 @@
 	Seq        int64
 	Task       specifier.TaskID
 	Run        int64
-	Outcome    string // accountant.End
+	Outcome    string // tracker.End
 	Checkpoint string
 }
 
--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/steerer/protocol.go
@@ -86,7 +86,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	Outcome    string `json:"how"` // accountant.End
+	Outcome    string `json:"how"` // tracker.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
