--- a/internal/service/agent/jobs.go
+++ b/internal/service/agent/jobs.go
@@ -9,7 +9,7 @@
 	"bamboospread/internal/kernel/timekeeper"
 	"bamboospread/internal/worker/attender"
 	"bamboospread/internal/worker/guardian"
-	"bamboospread/internal/worker/steerer"
+	"bamboospread/internal/worker/invoker"
 )
 
 // JobsCell is the name of the cell of jobs. Its owner may be a different entry than the
@@ -24,14 +24,14 @@
 
 // jobs holds the agent's components for jobs.
 type jobs struct {
-	steerer  *steerer.Steerer
+	invoker  *invoker.Invoker
 	guardian *guardian.Guardian
 	attender *attender.Attender
 }
 
 func newJobs(c Config) *jobs {
 	j := &jobs{}
-	j.steerer = steerer.New(steerer.Config{
+	j.invoker = invoker.New(invoker.Config{
 		URL: c.ExecutorURL, Zone: c.Zone, Rack: c.Rack, Service: c.Service,
 		OnAnnouncement: func(a guardian.Announcement) { j.guardian.Announce(a) },
 		OnDescribeError: func(err error) {
@@ -39,7 +39,7 @@
 		},
 	})
 	j.guardian = guardian.New(guardian.Config{
-		VM: c.VM, Worker: j.steerer.Calls(), LeaseMax: executorLeaseMax, StopTime: executorStopTime,
+		VM: c.VM, Worker: j.invoker.Calls(), LeaseMax: executorLeaseMax, StopTime: executorStopTime,
 		Reporter: c.Reporter, Now: timekeeper.Now,
 	})
 	j.attender = attender.New(attender.Config{
@@ -52,7 +52,7 @@
 func (j *jobs) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	components := []func(context.Context) error{j.steerer.Run, j.guardian.Run, j.attender.Run}
+	components := []func(context.Context) error{j.invoker.Run, j.guardian.Run, j.attender.Run}
 	ended := make(chan error, len(components))
 	for _, run := range components {
 		go func() { ended <- run(ctx) }()
--- a/internal/standin/executor/calls.go
+++ b/internal/standin/executor/calls.go
@@ -9,15 +9,15 @@
 	"bamboospread/internal/job/tracker"
 	"bamboospread/internal/standin/server"
 	"bamboospread/internal/worker/guardian"
-	"bamboospread/internal/worker/steerer"
+	"bamboospread/internal/worker/invoker"
 )
 
 func (e *Executor) routes() {
-	e.mux.HandleFunc("GET "+steerer.PathVM, e.describeVM)
-	handle(e, steerer.PathStart, true, e.startLocked)
-	handle(e, steerer.PathStop, true, e.stopLocked)
-	handle(e, steerer.PathPace, false, e.paceLocked)
-	e.mux.HandleFunc("POST "+steerer.PathPoll, e.pollStatus)
+	e.mux.HandleFunc("GET "+invoker.PathVM, e.describeVM)
+	handle(e, invoker.PathStart, true, e.startLocked)
+	handle(e, invoker.PathStop, true, e.stopLocked)
+	handle(e, invoker.PathPace, false, e.paceLocked)
+	e.mux.HandleFunc("POST "+invoker.PathPoll, e.pollStatus)
 	e.mux.HandleFunc("POST /control/faults", func(rw http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if server.ReadJSON(rw, r, &f) {
@@ -41,7 +41,7 @@
 			return
 		}
 		executeLocked := func() (int, any) {
-			if want := r.Header.Get(steerer.HeaderIncarnation); want != "" && want != e.incarnationName() {
+			if want := r.Header.Get(invoker.HeaderIncarnation); want != "" && want != e.incarnationName() {
 				return refusal(guardian.RefusedIncarnation)
 			}
 			e.advanceLocked()
@@ -70,7 +70,7 @@
 
 func (e *Executor) describeVM(rw http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	vm := steerer.VM{Incarnation: e.incarnationName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
+	vm := invoker.VM{Incarnation: e.incarnationName(), Capacity: e.config.Capacity, Labels: e.config.Labels, Leaving: e.faults.Leaving}
 	silent := e.faults.Silent
 	e.mu.Unlock()
 	if silent {
@@ -94,7 +94,7 @@
 	e.leaseEnd = max(e.leaseEnd, until)
 }
 
-func (e *Executor) startLocked(c steerer.Start) (int, any) {
+func (e *Executor) startLocked(c invoker.Start) (int, any) {
 	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
@@ -128,7 +128,7 @@
 	return http.StatusOK, struct{}{}
 }
 
-func (e *Executor) stopLocked(c steerer.Stop) (int, any) {
+func (e *Executor) stopLocked(c invoker.Stop) (int, any) {
 	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
@@ -139,7 +139,7 @@
 	return http.StatusOK, struct{}{}
 }
 
-func (e *Executor) paceLocked(c steerer.Pace) (int, any) {
+func (e *Executor) paceLocked(c invoker.Pace) (int, any) {
 	if e.isStaleEpochLocked(c.Epoch) {
 		return refusal(guardian.RefusedEpoch)
 	}
@@ -152,7 +152,7 @@
 // pollStatus waits until a run ends or the wait time is over, then lists the running tasks
 // and the ends that were not acknowledged.
 func (e *Executor) pollStatus(rw http.ResponseWriter, r *http.Request) {
-	var c steerer.PollRequest
+	var c invoker.PollRequest
 	if !server.ReadJSON(rw, r, &c) {
 		return
 	}
@@ -196,11 +196,11 @@
 	}
 }
 
-func (e *Executor) statusLocked() steerer.PollResponse {
-	s := steerer.PollResponse{Incarnation: e.incarnationName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]steerer.End(nil), e.ends...)}
+func (e *Executor) statusLocked() invoker.PollResponse {
+	s := invoker.PollResponse{Incarnation: e.incarnationName(), ClockMillis: e.clockLocked().Milliseconds(), Ends: append([]invoker.End(nil), e.ends...)}
 	for _, key := range e.sortedTasksLocked() {
 		r := e.runs[key]
-		v := steerer.Run{Task: r.task, Run: r.number, Checkpoint: r.checkpoint(), Progress: 100, Measure: r.payload.TailMillis}
+		v := invoker.Run{Task: r.task, Run: r.number, Checkpoint: r.checkpoint(), Progress: 100, Measure: r.payload.TailMillis}
 		if runTime := r.payload.RunMillis; runTime > 0 {
 			v.Progress = int(100 * r.progress.Milliseconds() / runTime)
 		}
--- a/internal/standin/executor/calls_test.go
+++ b/internal/standin/executor/calls_test.go
@@ -9,7 +9,7 @@
 
 	"bamboospread/internal/job/specifier"
 	"bamboospread/internal/worker/guardian"
-	"bamboospread/internal/worker/steerer"
+	"bamboospread/internal/worker/invoker"
 )
 
 // The stand-in must refuse the same starts as a real executor: a start has expired after its
@@ -37,7 +37,7 @@
 			e := New(Config{VM: "vm-1", Now: time.Now})
 			server := httptest.NewServer(e.Handler())
 			t.Cleanup(server.Close)
-			calls := steerer.New(steerer.Config{URL: server.URL}).Calls()
+			calls := invoker.New(invoker.Config{URL: server.URL}).Calls()
 			time.Sleep(2 * time.Millisecond) // so that the clock of the executor is above 0
 			status, err := calls.Poll(t.Context(), guardian.PollCall{LeaseUntil: time.Minute})
 			if err != nil {
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -22,7 +22,7 @@
 	"bamboospread/internal/standin/recorder"
 	"bamboospread/internal/standin/server"
 	"bamboospread/internal/worker/guardian"
-	"bamboospread/internal/worker/steerer"
+	"bamboospread/internal/worker/invoker"
 )
 
 const (
@@ -103,7 +103,7 @@
 	epoch        int64 // highest one seen in this incarnation
 	runs         map[string]*run
 	highestEnded map[string]int64 // highest run that was stopped or has ended, by task
-	ends         []steerer.End
+	ends         []invoker.End
 	seq          int64
 	leaseEnd     time.Duration // on the clock of this incarnation
 	leaseExpired bool
@@ -244,7 +244,7 @@
 	e.seq++
 	e.highestEnded[r.task] = max(e.highestEnded[r.task], r.number)
 	delete(e.runs, r.task)
-	e.ends = append(e.ends, steerer.End{Seq: e.seq, Task: r.task, Run: r.number, Outcome: string(outcome), Checkpoint: r.checkpoint()})
+	e.ends = append(e.ends, invoker.End{Seq: e.seq, Task: r.task, Run: r.number, Outcome: string(outcome), Checkpoint: r.checkpoint()})
 	e.recordLocked(Event{Kind: "end", Task: r.task, Run: r.number, Outcome: string(outcome)})
 	close(e.changed)
 	e.changed = make(chan struct{})
@@ -297,5 +297,5 @@
 }
 
 func refusal(reason guardian.RefusalReason) (int, any) {
-	return http.StatusConflict, steerer.Refusal{Reason: string(reason)}
+	return http.StatusConflict, invoker.Refusal{Reason: string(reason)}
 }
--- a/internal/worker/steerer/steerer.go
+++ b/internal/worker/invoker/invoker.go
@@ -1,4 +1,4 @@
-package steerer
+package invoker
 
 import (
 	"bytes"
@@ -22,7 +22,7 @@
 	describeInterval = time.Second
 )
 
-// Config holds the settings of a Steerer.
+// Config holds the settings of an Invoker.
 type Config struct {
 	URL             string // of the executor, http://host:port
 	Zone            string
@@ -33,73 +33,73 @@
 	DescribeEvery   time.Duration // default 1 s
 }
 
-// Steerer calls one executor. It is safe for concurrent use.
-type Steerer struct {
+// Invoker calls one executor. It is safe for concurrent use.
+type Invoker struct {
 	config      Config
 	client      *http.Client
 	mu          sync.Mutex
 	incarnation string
 }
 
-// New returns a Steerer.
-func New(c Config) *Steerer {
+// New returns an Invoker.
+func New(c Config) *Invoker {
 	if c.DescribeEvery <= 0 {
 		c.DescribeEvery = describeInterval
 	}
-	return &Steerer{config: c, client: &http.Client{Timeout: callTimeout}}
+	return &Invoker{config: c, client: &http.Client{Timeout: callTimeout}}
 }
 
 // Calls returns the calls for a guardian.
-func (s *Steerer) Calls() guardian.Worker {
-	return guardian.Worker{Start: s.start, Stop: s.stop, Pace: s.pace, Poll: s.poll}
+func (i *Invoker) Calls() guardian.Worker {
+	return guardian.Worker{Start: i.start, Stop: i.stop, Pace: i.pace, Poll: i.poll}
 }
 
 // Run polls the executor's description until ctx ends.
-func (s *Steerer) Run(ctx context.Context) error {
+func (i *Invoker) Run(ctx context.Context) error {
 	for {
-		if err := s.describe(ctx); err != nil && ctx.Err() == nil {
-			s.config.OnDescribeError(err)
+		if err := i.describe(ctx); err != nil && ctx.Err() == nil {
+			i.config.OnDescribeError(err)
 		}
-		if err := pauser.Pause(ctx, s.config.DescribeEvery); err != nil {
+		if err := pauser.Pause(ctx, i.config.DescribeEvery); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Steerer) describe(ctx context.Context) error {
+func (i *Invoker) describe(ctx context.Context) error {
 	var vm VM
-	if err := s.call(ctx, http.MethodGet, PathVM, s.lastIncarnation(), nil, &vm); err != nil {
+	if err := i.call(ctx, http.MethodGet, PathVM, i.lastIncarnation(), nil, &vm); err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.incarnation = vm.Incarnation
-	s.mu.Unlock()
-	s.config.OnAnnouncement(guardian.Announcement{
-		Incarnation: vm.Incarnation, Zone: s.config.Zone, Rack: s.config.Rack, Service: s.config.Service,
+	i.mu.Lock()
+	i.incarnation = vm.Incarnation
+	i.mu.Unlock()
+	i.config.OnAnnouncement(guardian.Announcement{
+		Incarnation: vm.Incarnation, Zone: i.config.Zone, Rack: i.config.Rack, Service: i.config.Service,
 		Labels: vm.Labels, Capacity: vm.Capacity, Leaving: vm.Leaving,
 	})
 	return nil
 }
 
 // lastIncarnation returns the incarnation of the executor's latest description.
-func (s *Steerer) lastIncarnation() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.incarnation
+func (i *Invoker) lastIncarnation() string {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.incarnation
 }
 
 // call makes a call that is meant for one incarnation of the executor.
-func (s *Steerer) call(ctx context.Context, method, path, incarnation string, body, answer any) error {
+func (i *Invoker) call(ctx context.Context, method, path, incarnation string, body, answer any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, s.config.URL+path, bytes.NewReader(encoded))
+	r, err := http.NewRequestWithContext(ctx, method, i.config.URL+path, bytes.NewReader(encoded))
 	if err != nil {
 		return err
 	}
 	r.Header.Set(HeaderIncarnation, incarnation)
-	reply, err := s.client.Do(r)
+	reply, err := i.client.Do(r)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return guardian.ErrWorkerNotExist{Cause: err}
 	}
@@ -123,24 +123,24 @@
 	return fmt.Errorf("executor answered %s with status %d", path, reply.StatusCode)
 }
 
-func (s *Steerer) start(ctx context.Context, c guardian.StartCall) error {
-	return s.call(ctx, http.MethodPost, PathStart, c.Incarnation, Start{
+func (i *Invoker) start(ctx context.Context, c guardian.StartCall) error {
+	return i.call(ctx, http.MethodPost, PathStart, c.Incarnation, Start{
 		Task: c.Task.String(), Run: c.Run, Payload: c.Payload, Checkpoint: c.Checkpoint, Ticket: c.Ticket,
 		Epoch: c.Epoch, LeaseMillis: millis(c.Until),
 	}, nil)
 }
 
-func (s *Steerer) stop(ctx context.Context, c guardian.StopCall) error {
-	return s.call(ctx, http.MethodPost, PathStop, s.lastIncarnation(), Stop{Task: c.Task.String(), Run: c.Run, Epoch: c.Epoch}, nil)
+func (i *Invoker) stop(ctx context.Context, c guardian.StopCall) error {
+	return i.call(ctx, http.MethodPost, PathStop, i.lastIncarnation(), Stop{Task: c.Task.String(), Run: c.Run, Epoch: c.Epoch}, nil)
 }
 
-func (s *Steerer) pace(ctx context.Context, c guardian.PaceCall) error {
-	return s.call(ctx, http.MethodPost, PathPace, s.lastIncarnation(), Pace{Task: c.Task.String(), Run: c.Run, Percent: c.Percent, Epoch: c.Epoch}, nil)
+func (i *Invoker) pace(ctx context.Context, c guardian.PaceCall) error {
+	return i.call(ctx, http.MethodPost, PathPace, i.lastIncarnation(), Pace{Task: c.Task.String(), Run: c.Run, Percent: c.Percent, Epoch: c.Epoch}, nil)
 }
 
-func (s *Steerer) poll(ctx context.Context, c guardian.PollCall) (guardian.Status, error) {
+func (i *Invoker) poll(ctx context.Context, c guardian.PollCall) (guardian.Status, error) {
 	var a PollResponse
-	if err := s.call(ctx, http.MethodPost, PathPoll, s.lastIncarnation(), PollRequest{Epoch: c.Epoch, EndsSeen: c.EndsSeen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
+	if err := i.call(ctx, http.MethodPost, PathPoll, i.lastIncarnation(), PollRequest{Epoch: c.Epoch, EndsSeen: c.EndsSeen, LeaseMillis: millis(c.LeaseUntil), WaitMillis: millis(c.Wait)}, &a); err != nil {
 		return guardian.Status{}, err
 	}
 	status := guardian.Status{Incarnation: a.Incarnation, Clock: time.Duration(a.ClockMillis) * time.Millisecond}
--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/invoker/protocol.go
@@ -1,6 +1,6 @@
-// Package steerer is the client of an executor, the process on a VM that runs the tasks of
+// Package invoker is the client of an executor, the process on a VM that runs the tasks of
 // jobs under leases. It defines the executor's protocol: HTTP with JSON in kebab case.
-package steerer
+package invoker
 
 import (
 	"time"
