--- a/internal/kernel/reporter/catalogue_control.go
+++ b/internal/kernel/reporter/catalogue_control.go
@@ -54,7 +54,7 @@
 	{AttemptFailed, log.InfoLevel, "attempt failed", "A task ended with an error; it is retried on another VM until its attempts are used up."},
 	{AttemptMoved, log.InfoLevel, "attempt moved", "A task was checkpointed and waits to resume."},
 	{AttemptLost, log.WarnLevel, "attempt lost", "An attempt ended without a result because its VM or lease was lost; the task is queued again."},
-	{UnassignedAttemptStopped, log.WarnLevel, "stray attempt stopped", "An agent reported an attempt that is not the current one; it was ordered to stop."},
+	{UnassignedAttemptStopped, log.WarnLevel, "unassigned attempt stopped", "An agent reported an attempt that is not the current one; it was ordered to stop."},
 	{VMJoined, log.InfoLevel, "VM joined", "An agent opened the first session of a VM with the cell."},
 	{VMChanged, log.InfoLevel, "VM changed", "The size, location, agent or upstreams of a VM changed."},
 	{VMLost, log.WarnLevel, "VM lost", "The lease of a VM has definitely expired; its tasks are queued again."},
--- a/internal/kernel/reporter/catalogue_kernel.go
+++ b/internal/kernel/reporter/catalogue_kernel.go
@@ -20,7 +20,7 @@
 	{ServiceStopped, log.InfoLevel, "service stopped", "A service has ended after finishing its work in flight."},
 	{ServiceFailed, log.ErrorLevel, "service failed", "A service ended with an error; the whole process shuts down gracefully."},
 	{StopBegan, log.InfoLevel, "shutdown started", "The process was asked to stop, or a service failed; it drains."},
-	{StopTimedOut, log.ErrorLevel, "service stop timed out", "A service did not end within the stop limit and was abandoned."},
+	{StopTimedOut, log.ErrorLevel, "service stop timed out", "A service did not end within the stop timeout and was abandoned."},
 	{ProcessStarted, log.InfoLevel, "process started", "The process has read its settings and starts its services."},
 	{ProcessStopped, log.InfoLevel, "process stopped", "The process has shut down gracefully."},
 	{SettingsReloaded, log.InfoLevel, "settings reloaded", "The settings file has changed; changed lists the settings, in-force says whether they apply without a restart."},
--- a/internal/request/receiver/serve.go
+++ b/internal/request/receiver/serve.go
@@ -135,7 +135,7 @@
 		// must never be returned as if it were complete.
 		return &answer{
 			status: http.StatusConflict, outcome: messenger.OutcomeRun, replayed: true,
-			reason: "the request with this key ran; its answer was not kept",
+			reason: "the request with this key ran; its answer was not stored",
 		}
 	}
 	return &answer{status: stored.Status, outcome: messenger.OutcomeRun, header: messenger.UnpackHeader(stored.Header), body: stored.Body, replayed: true}
