--- a/internal/worker/steerer/protocol.go
+++ b/internal/worker/invoker/protocol.go
@@ -1,6 +1,6 @@
-// Package steerer is the client of an executor, the process on a VM that runs the tasks of
+// Package invoker is the client of an executor, the process on a VM that runs the tasks of
 // jobs under leases. It defines the executor's protocol: HTTP with JSON in kebab case.
-package steerer
+package invoker
 
 import (
 	"time"
@@ -86,7 +86,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	Outcome    string `json:"how"` // accountant.End
+	Outcome    string `json:"how"` // tracker.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
