--- a/internal/cli/commander/commander.go
+++ b/internal/cli/commander/commander.go
@@ -34,8 +34,10 @@
 
 // Execute runs the command line and returns the exit code.
 func Execute(args []string, stdout, stderr io.Writer) int {
-	// SIGTERM and SIGINT start a graceful stop. A second signal is meant to take the
-	// default action, so that an operator can still end a stuck process.
+	// SIGTERM and SIGINT start a graceful stop. Further ones have no effect until Execute
+	// returns.
+	// TODO: call cancel once ctx is done, so that a second signal takes the default action
+	// and an operator can end a stuck process.
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	root := newRootCommand()
--- a/internal/cli/commander/settings_test.go
+++ b/internal/cli/commander/settings_test.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// TestEveryCommandHasHelp checks that each command has a short text, an example and a text for each flag.
+// TestEveryCommandHasHelp checks that each command has a short text, an example and a text
+// for each flag: a user of an unfamiliar command relies on its help.
 func TestEveryCommandHasHelp(t *testing.T) {
 	var check func(cmd *cobra.Command)
 	check = func(cmd *cobra.Command) {
--- a/internal/demo/demonstrator/demonstrator.go
+++ b/internal/demo/demonstrator/demonstrator.go
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// service runs a service until its context ends.
+// service is a function that runs one service until ctx ends.
 type service func(ctx context.Context) error
 
 // vm holds the services of one VM.
@@ -181,9 +181,9 @@
 func runTogether(all []service) service {
 	return func(ctx context.Context) error {
 		var group run.Group
-		for _, w := range all {
+		for _, s := range all {
 			own, cancel := context.WithCancel(ctx)
-			group.Add(func() error { return w(own) }, func(error) { cancel() })
+			group.Add(func() error { return s(own) }, func(error) { cancel() })
 		}
 		return group.Run()
 	}
@@ -200,14 +200,14 @@
 }
 
 // addService adds a service that starts after those added before.
-func (d *Demonstrator) addService(services *registrar.Registrar, name string, w service) {
-	services.Add(newService(name, w, d.serviceNames...))
+func (d *Demonstrator) addService(services *registrar.Registrar, name string, s service) {
+	services.Add(newService(name, s, d.serviceNames...))
 	d.serviceNames = append(d.serviceNames, name)
 }
 
-func newService(name string, w service, needs ...string) registrar.Service {
+func newService(name string, s service, needs ...string) registrar.Service {
 	return registrar.Service{
-		Name: name, Needs: needs, Run: w,
+		Name: name, Needs: needs, Run: s,
 		Start: func(context.Context, *registrar.Registrar) (any, error) { return name, nil },
 	}
 }
--- a/internal/load/generator/report.go
+++ b/internal/load/generator/report.go
@@ -8,9 +8,9 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// Limits of a report.
+// Limits of the histograms, whose values are in microseconds, and of the reasons in a report.
 const (
-	minMicros         = 1 // least value of the histograms
+	minMicros         = 1
 	maxMicros         = 120_000_000
 	significantDigits = 3
 	maxReasons        = 20
--- a/internal/standin/worker/calls.go
+++ b/internal/standin/worker/calls.go
@@ -109,8 +109,8 @@
 	return http.StatusOK, struct{}{}
 }
 
-// endAttempt ends the attempt if it runs. Otherwise it leaves a tombstone, so that a start
-// that arrives later is refused.
+// endAttempt ends the attempt if it runs. It also records the attempt as a tombstone, so
+// that a start that arrives later is refused, even if the attempt never ran.
 func (w *Worker) endAttempt(c driver.TaskCall, do func(*task)) (int, any) {
 	t := w.tasks[c.TaskID]
 	w.highestAttempt[c.TaskID] = max(w.highestAttempt[c.TaskID], c.Attempt)
