--- a/tests/harness/threads.go
+++ b/tests/harness/threads.go
@@ -16,7 +16,7 @@
 // waitStopped waits until all threads of a process that was sent SIGSTOP are
 // stopped. Sending the signal is not enough: one thread handles it and notifies the
 // others, and each thread continues, and may answer requests, until it is scheduled
-// and sees the notification.
+// and handles the notification.
 func waitStopped(pid int, done <-chan struct{}, limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	var before []string
--- a/tests/integration/control_testbed_test.go
+++ b/tests/integration/control_testbed_test.go
@@ -59,16 +59,16 @@
 		Cluster: k, t: t, random: rand.New(rand.NewPCG(seed, 1)), operator: k.Operator(),
 		accepted: make(map[string]bool), unreachable: make(map[string]bool),
 	}
-	harness.WaitFor(t, 20*time.Second, "owner to know all VMs and upstreams", func(ctx context.Context) error {
+	harness.WaitFor(t, 20*time.Second, "owner to list all VMs and upstreams", func(ctx context.Context) error {
 		s, err := r.operator.GetStatus(ctx)
-		known := 0
+		listed := 0
 		for _, vm := range s.VMs {
 			if vm.Committed == upstreamNeeds {
-				known++
+				listed++
 			}
 		}
-		if err == nil && known < vms {
-			err = fmt.Errorf("%d of %d", known, vms)
+		if err == nil && listed < vms {
+			err = fmt.Errorf("%d of %d", listed, vms)
 		}
 		return err
 	})
--- a/tests/integration/fleet_versions_test.go
+++ b/tests/integration/fleet_versions_test.go
@@ -19,9 +19,9 @@
 }
 
 type shownVersion struct {
-	asked, answered time.Time
-	pid             int
-	version         int64
+	polledAt, answeredAt time.Time
+	pid                  int
+	version              int64
 }
 
 func watchVersions(t *testing.T, k *harness.Cluster) *versionLog {
@@ -43,12 +43,12 @@
 			var state struct {
 				Version int64 `json:"fleet-version"`
 			}
-			asked, pid := time.Now(), p.PID()
+			polledAt, pid := time.Now(), p.PID()
 			if err := getJSON(ctx, url, &state); err != nil {
 				continue
 			}
 			w.mu.Lock()
-			w.shown[p.Name] = append(w.shown[p.Name], shownVersion{asked, time.Now(), pid, state.Version})
+			w.shown[p.Name] = append(w.shown[p.Name], shownVersion{polledAt, time.Now(), pid, state.Version})
 			w.mu.Unlock()
 		}
 	})
@@ -119,11 +119,11 @@
 }
 
 // lagOf returns how long after acceptance a process first reported a version or a higher
-// one. It uses the time at which the process was asked, since the answer came later.
+// one. It uses the time at which the process was polled, since the answer came later.
 func lagOf(shown []shownVersion, version int64, accepted time.Time) (time.Duration, bool) {
 	for _, s := range shown {
 		if s.version >= version {
-			return max(0, s.asked.Sub(accepted)), true
+			return max(0, s.polledAt.Sub(accepted)), true
 		}
 	}
 	return 0, false
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -41,14 +41,14 @@
 // process or link.
 func requestFaults() []fault {
 	noop := func(*requestTestbed) {}
-	heal := func(b *requestTestbed) {
+	resetLinks := func(b *requestTestbed) {
 		for _, e := range b.Entries {
 			e.RPCLink.Reset()
 			e.StoreLink.Reset()
 		}
 	}
 	link := func(name string, f proxy.Faults) fault {
-		return fault{name, func(b *requestTestbed, random *rand.Rand) { b.setAgentFaults(b.randomVM(random), f) }, heal}
+		return fault{name, func(b *requestTestbed, random *rand.Rand) { b.setAgentFaults(b.randomVM(random), f) }, resetLinks}
 	}
 	return []fault{
 		{"kill entry", func(b *requestTestbed, random *rand.Rand) { b.Entries[b.randomEntry(random)].Restart() }, noop},
--- a/tests/integration/request_leaving_test.go
+++ b/tests/integration/request_leaving_test.go
@@ -160,13 +160,13 @@
 	pauseEntry := func() { b.Entries[0].Pause() }
 	pauseAgents := agents(func(vm *harness.VM) { vm.Agent.Pause() })
 	killAgents := agents(func(vm *harness.VM) { vm.Agent.Restart() })
-	heal, resume := []func(){hold(proxy.Faults{})}, []func(){b.resumeAll}
+	release, resume := []func(){hold(proxy.Faults{})}, []func(){b.resumeAll}
 	return []leavingCase{
 		{"no fault", nil, nil},
 		{"entry paused", []func(){pauseEntry}, resume},
 		{"agents paused", []func(){pauseAgents}, resume},
-		{"requests held in the link", []func(){hold(proxy.Faults{Hold: proxy.ToClient})}, heal},
-		{"heartbeats cut", []func(){hold(proxy.Faults{Cut: proxy.ToServer})}, heal},
+		{"requests held in the link", []func(){hold(proxy.Faults{Hold: proxy.ToClient})}, release},
+		{"heartbeats cut", []func(){hold(proxy.Faults{Cut: proxy.ToServer})}, release},
 		{"entry paused, agents killed", []func(){pauseEntry, killAgents}, resume},
 		{"entry and agents paused", []func(){pauseEntry, pauseAgents}, resume},
 	}
--- a/tests/measure/requests_test.go
+++ b/tests/measure/requests_test.go
@@ -23,7 +23,7 @@
 	clockTicksPerSecond = 100 // of /proc/PID/stat
 	slowFactor          = 20
 	measurementTime     = 10 * time.Second
-	warmUpRate          = 50 // requests per second until the entries know every upstream
+	warmUpRate          = 50 // requests per second until each entry lists every upstream
 	warmUpTime          = 12 * time.Second
 )
 
--- a/tests/soak/callers_test.go
+++ b/tests/soak/callers_test.go
@@ -22,7 +22,7 @@
 	stateCanceled  = "cancelled"
 )
 
-// record is what the callers know about a job.
+// record is the state of a job according to the answers to its callers.
 type record struct {
 	spec            *specifier.Job
 	accepted        time.Time // zero: no submission was answered with 2xx
@@ -88,7 +88,7 @@
 	return ids
 }
 
-// pending reports whether a job was accepted, is not known as done and is not being cancelled.
+// pending reports whether a job was accepted, was not shown as done and is not being cancelled.
 func (r *record) pending() bool { return !r.accepted.IsZero() && !r.cancelRequested && r.done.IsZero() }
 
 // caller submits jobs, polls their state and cancels them.
--- a/tests/soak/faults_test.go
+++ b/tests/soak/faults_test.go
@@ -144,7 +144,7 @@
 	e, lead := b.entries[r.IntN(len(b.entries))], time.Duration(r.Int64N(int64(2*time.Second)))
 	late := executor.Faults{LateMillis: 1500 + r.Int64N(2500)}
 	heldAfter := takeoverTime/3 + time.Duration(r.Int64N(int64(takeoverTime/2)))
-	name := fmt.Sprintf("%s frozen and agents replaced %s after starts are late by %d ms, looks held %s later", e.Name, lead, late.LateMillis, heldAfter)
+	name := fmt.Sprintf("%s frozen and agents replaced %s after starts are late by %d ms, status polls held %s later", e.Name, lead, late.LateMillis, heldAfter)
 	return fault{name, func() func() {
 		lateEnd := pushFault("", b.executorStacks, late).begin()
 		wait(b.t.Context(), lead)
