--- a/internal/job/follower/follower.go
+++ b/internal/job/follower/follower.go
@@ -60,7 +60,8 @@
 
 var noPolicy specifier.Policy
 
-// Age returns the time since the policy was last confirmed to be the newest.
+// Age returns the time since the policy was last confirmed to be the newest. Before the first
+// answered read it returns a duration above every limit.
 func (f *Follower) Age() time.Duration {
 	at := f.contact.Load()
 	if at == nil {
--- a/internal/job/planner/cache.go
+++ b/internal/job/planner/cache.go
@@ -7,11 +7,11 @@
 	"bamboospread/internal/job/tracker"
 )
 
-// Cache caches results between rounds that are expensive to compute and change little: the
-// headroom left to the long-running tasks of a VM, and the processors that best-effort images
-// may use. Computed for all VMs in each round, these would delay starts on a large fleet if
-// the owner has little processor time. A nil Cache caches nothing. It is used by one
-// goroutine.
+// Cache keeps results that are expensive to compute and change little from one round to the
+// next: the headroom left to the long-running tasks of a VM, and the processors that
+// best-effort images may use. Computing them for all VMs in each round would delay starts on a
+// large fleet if the owner has little processor time. A nil Cache keeps nothing. It is not safe
+// for concurrent use.
 type Cache struct {
 	vms         map[string]cachedVM
 	demand      *demandModel
@@ -23,7 +23,7 @@
 // NewCache returns an empty Cache.
 func NewCache() *Cache { return &Cache{vms: make(map[string]cachedVM)} }
 
-// cacheTTL is how long an entry is valid: reports arrive at this interval.
+// cacheTTL is how long a cached result is valid: reports arrive at this interval.
 const cacheTTL = 250 * time.Millisecond
 
 // cachedVM is the result for a VM at one of its versions.
--- a/internal/job/planner/cache_test.go
+++ b/internal/job/planner/cache_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against the use of outdated headroom after a task was placed. The result for a VM is
-// computed anew once the VM has changed or the entry has expired.
+// computed anew once the VM has changed or the cached result has expired.
 func TestChangedVMIsNotCached(t *testing.T) {
 	f := newMixedFleet(2)
 	f.submitBestEffort("x")
@@ -49,10 +49,10 @@
 		t.Fatal("nothing is cached for a VM after a round")
 	}
 	if isCached(begin.Add(cacheTTL)) {
-		t.Error("entry is valid after its expiry")
+		t.Error("the cached result is valid after its expiry")
 	}
 	f.run(f.submitBestEffort("y").Occurrences[0].Steps[0].Tasks[0], vm)
 	if isCached(begin) {
-		t.Error("entry is valid after a task was placed")
+		t.Error("the cached result is valid after a task was placed")
 	}
 }
--- a/internal/job/planner/copies.go
+++ b/internal/job/planner/copies.go
@@ -13,9 +13,9 @@
 	// stragglerFactor is how many times its declared duration a run must be expected to take.
 	// Declared durations of such tasks are off by about a third.
 	stragglerFactor = 1.8
-	// minCopyGain is how many times the declared duration the rest of a run must take: a copy
-	// repeats the whole work and has the cost of its start too.
-	minCopyGain = 1.3
+	// minRemainingFactor is how many times the declared duration the rest of a run must be
+	// expected to take: a copy repeats the whole work and has the cost of its start too.
+	minRemainingFactor = 1.3
 	// minStragglerAge is the share of the declared duration after which the progress of a run
 	// is significant.
 	minStragglerAge = 0.5
@@ -75,5 +75,5 @@
 		return false
 	}
 	left := time.Duration(float64(age) * float64(paceFull-run.Progress) / float64(max(run.Progress, 1)))
-	return age+left > time.Duration(stragglerFactor*float64(declared)) && left > time.Duration(minCopyGain*float64(declared))
+	return age+left > time.Duration(stragglerFactor*float64(declared)) && left > time.Duration(minRemainingFactor*float64(declared))
 }
--- a/internal/job/planner/defragment.go
+++ b/internal/job/planner/defragment.go
@@ -6,14 +6,14 @@
 	"bamboospread/internal/job/tracker"
 )
 
-// maxMoveSearches is for how many steps a round searches for a move that frees capacity: on a full
-// fleet none is found for any, and each search examines all pairs of VMs.
+// maxMoveSearches bounds the number of steps for which a round searches for a move that frees
+// capacity: on a full fleet each search examines all pairs of VMs and finds no move.
 const maxMoveSearches = 2
 
-// moveForLongRunning returns the move of one long-running task that lets another one start
-// which fits on no VM although the fleet has enough free capacity: it is fragmented over the
-// VMs, or on VMs where the job has as many tasks as are allowed per VM. Without the move the
-// task would wait until other tasks that use as much as a whole VM have ended.
+// moveForLongRunning returns the move of one long-running task that lets another one start.
+// The waiting task fits on no VM although the fleet has enough free capacity, because the
+// capacity is fragmented or is on VMs that already have the maximum number of tasks of the
+// step. Without the move it would wait until tasks that use as much as a whole VM have ended.
 func (r *round) moveForLongRunning(ongoing movesInProgress) []Move {
 	searches := 0
 	for _, s := range r.waitingOverdueFirst() {
--- a/internal/job/planner/evict.go
+++ b/internal/job/planner/evict.go
@@ -9,8 +9,8 @@
 
 // Limits of evictions. They cover loads under which best-effort tasks are throttled almost to
 // zero for long-running tasks while another VM has capacity for them: long-running tasks have
-// started on their VM, or the load of those on it has risen. Kept where they are, they would
-// also keep memory from other tasks.
+// started on their VM, or the load of those on it has risen. If the best-effort tasks stayed,
+// they would also hold memory that other tasks could use.
 const (
 	// starvedPace is the pace in percent up to which a best-effort run counts as starved.
 	starvedPace = 30
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -53,7 +53,7 @@
 }
 
 // group holds the long-running runs of one image on a VM. They move together: any one that
-// stayed would keep off the same best-effort images.
+// stayed would block the same best-effort images.
 type group struct {
 	host      *vmState
 	image     string // empty if there is no run
@@ -149,10 +149,10 @@
 }
 
 // movableGroups returns the groups of a VM that may move, and an empty one.
-func (m *mover) movableGroups(r *vmState) []group {
-	groups := []group{{host: r, remaining: m.usableWithout(r, "")}}
-	for _, image := range slices.Sorted(maps.Keys(r.imageCounts())) {
-		g := group{host: r, image: image, runs: longRunningRunsOf(r.vm, image), remaining: m.usableWithout(r, image)}
+func (m *mover) movableGroups(host *vmState) []group {
+	groups := []group{{host: host, remaining: m.usableWithout(host, "")}}
+	for _, image := range slices.Sorted(maps.Keys(host.imageCounts())) {
+		g := group{host: host, image: image, runs: longRunningRunsOf(host.vm, image), remaining: m.usableWithout(host, image)}
 		for _, run := range g.runs {
 			g.cpu += run.Step().Spec.Needs.CPUMillis
 		}
@@ -198,12 +198,12 @@
 
 // usableWithout returns the share of a VM's idle processors that each best-effort image may
 // use next to all long-running images there except one.
-func (m *mover) usableWithout(r *vmState, without string) []float64 {
+func (m *mover) usableWithout(host *vmState, without string) []float64 {
 	remaining := make([]float64, len(m.model.images))
 	for i := range remaining {
 		remaining[i] = 1
 	}
-	for image := range r.imageCounts() {
+	for image := range host.imageCounts() {
 		if image == without {
 			continue
 		}
--- a/internal/job/planner/pace.go
+++ b/internal/job/planner/pace.go
@@ -8,15 +8,15 @@
 
 // Limits of throttling by measured tail latency, the last resort. A long-running task that is
 // over its target for several seconds without interruption because of best-effort tasks on its
-// VM breaks what its users were promised. The steps come well before that: reports are half a
+// VM breaks the promise made to its users. The pace is lowered well before that: reports are half a
 // second old, and an order takes some 100 ms to have an effect.
 const (
 	paceLow        = 15                      // percent of full pace
 	paceLowAfter   = 900 * time.Millisecond  // time over target, longer than a single bad report
 	paceStopAfter  = 2200 * time.Millisecond // time over target until best-effort tasks are throttled to zero
-	paceRaiseAfter = 900 * time.Millisecond  // time under target before each step up
-	paceMiddle     = 50
-	paceFull       = 100
+	paceRaiseAfter = 900 * time.Millisecond  // time under target before each increase
+	paceMiddle     = 50                      // percent of full pace
+	paceFull       = 100                     // percent
 )
 
 // Pace is a new pace for a run.
@@ -33,7 +33,7 @@
 		if !vm.Attached {
 			continue
 		}
-		state := observe(vm, in.Now)
+		state := updateThrottle(vm, in.Now)
 		for _, p := range throttledPaces(in, vm) {
 			if p.Percent = min(p.Percent, state.Percent); p.Percent != p.Run.Pace {
 				paces = append(paces, p)
@@ -43,8 +43,8 @@
 	return paces
 }
 
-// observe updates the throttling state of a VM and returns it.
-func observe(vm *tracker.VM, now time.Time) *tracker.ThrottleState {
+// updateThrottle updates the throttling state of a VM by its latest report and returns it.
+func updateThrottle(vm *tracker.VM, now time.Time) *tracker.ThrottleState {
 	state := &vm.Throttle
 	if state.ChangedAt.IsZero() {
 		state.Percent, state.ChangedAt = paceFull, now
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -58,11 +58,11 @@
 	vm              *tracker.VM
 	now             time.Time
 	free            specifier.Resources
-	bestEffortCPU   int64
-	longRunning     int
-	longRunningCPU  int64
-	placed          int  // in this round
-	neighboursKnown bool // whether neighbours is set
+	bestEffortCPU   int64 // thousandths of a core that best-effort tasks ask for
+	longRunning     int   // number of long-running tasks
+	longRunningCPU  int64 // thousandths of a core reserved for them
+	placed          int   // in this round
+	neighboursKnown bool  // whether neighbours is set
 	// neighbours are the long-running tasks that best-effort tasks could interfere with.
 	neighbours []neighbour
 	images     imageCounts // of the long-running tasks; nil until it is needed
--- a/internal/job/planner/preempt.go
+++ b/internal/job/planner/preempt.go
@@ -39,8 +39,8 @@
 	return runs
 }
 
-// reservationCandidates returns the tasks for which capacity may be reserved, first those that
-// were running, in the order of the time for which they have been unavailable.
+// reservationCandidates returns the tasks for which capacity may be reserved: first those that
+// were running, the longest unavailable first, then one task of each other step.
 func (r *round) reservationCandidates() []*tracker.Task {
 	steps := r.state.WaitingSteps(r.now)
 	found := r.overdueTasks(steps)
--- a/internal/job/planner/rotation.go
+++ b/internal/job/planner/rotation.go
@@ -30,8 +30,8 @@
 }
 
 // Relocation returns the record of the rotation to store in the task that starts again.
-func (t Rotation) Relocation(now time.Time) tracker.Relocation {
-	return tracker.Relocation{To: t.Run.VM.Name, Until: now.Add(rotationHold)}
+func (r Rotation) Relocation(now time.Time) tracker.Relocation {
+	return tracker.Relocation{To: r.Run.VM.Name, Until: now.Add(rotationHold)}
 }
 
 // Rotations returns the rotations to carry out while urgent tasks wait for capacity.
--- a/internal/job/planner/yield.go
+++ b/internal/job/planner/yield.go
@@ -10,9 +10,9 @@
 
 // Limits of yields. They cover a load under which long-running tasks have reserved nearly all
 // processors before urgent tasks arrive: urgent tasks that take a second queue up behind
-// others that run for a minute, and the queue grows until the traffic ends. One long-running
-// task frees capacity for a dozen of them in sequence, and its users keep the other tasks of its
-// job.
+// others that run for a minute, and the queue grows until the traffic ends. The capacity of one
+// long-running task serves a dozen of them in sequence, and its users still have the other
+// tasks of its job.
 const (
 	// yieldAfter is how long an urgent task waits for capacity before a long-running one
 	// yields: ending tasks free capacity all the time.
@@ -101,7 +101,7 @@
 func (r *round) yieldable() []*tracker.Run {
 	var runs []*tracker.Run
 	unavailable := make(map[*tracker.Step]float64)
-	work := make(map[*tracker.Step]float64)
+	runningCPU := make(map[*tracker.Step]float64) // thousandths of a core
 	for _, m := range r.vmStates {
 		for _, run := range longRunningRuns(m.vm) {
 			s := run.Step()
@@ -111,13 +111,13 @@
 			if _, known := unavailable[s]; !known {
 				count := float64(s.Unavailable())
 				unavailable[s] = count / float64(len(s.Tasks))
-				work[s] = (float64(len(s.Tasks)) - count) * float64(s.Spec.Needs.CPUMillis)
+				runningCPU[s] = (float64(len(s.Tasks)) - count) * float64(s.Spec.Needs.CPUMillis)
 			}
 			runs = append(runs, run)
 		}
 	}
 	slices.SortStableFunc(runs, func(a, b *tracker.Run) int {
-		return cmp.Or(cmp.Compare(unavailable[a.Step()], unavailable[b.Step()]), cmp.Compare(work[b.Step()], work[a.Step()]))
+		return cmp.Or(cmp.Compare(unavailable[a.Step()], unavailable[b.Step()]), cmp.Compare(runningCPU[b.Step()], runningCPU[a.Step()]))
 	})
 	return runs
 }
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -35,7 +35,7 @@
 	maxHintRetryDelay = time.Second
 	// hintTimeout is how long a hint is repeated. By then, a stalled watch of the owner has
 	// ended. It is shorter than the time for which the owner keeps ended jobs, so a late hint
-	// cannot run a job again that has ended and was removed.
+	// cannot make the owner run a job again after it has ended and was removed.
 	hintTimeout = 15 * time.Second
 )
 
--- a/internal/job/scheduler/flush.go
+++ b/internal/job/scheduler/flush.go
@@ -60,7 +60,7 @@
 // progress and needs no call of its own.
 const learnedInterval = 5 * time.Second
 
-// learnedKey returns the key of the cell's learned interference data, a learner's record.
+// learnedKey returns the key of the cell's learned interference data, as encoded by the learner.
 func (s *Scheduler) learnedKey() string { return fmt.Sprintf("cells/%s/learned", s.config.Cell) }
 
 // learnedRecord returns the record of learned interference data if it is due.
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -32,7 +32,7 @@
 	moveIntervalVMs = 16
 	minMoveInterval = 200 * time.Millisecond
 	// reportTimeout is the time without a report after which a VM is detached and gets no new
-	// tasks. Agents report twice a second.
+	// tasks. Agents report at least twice a second.
 	reportTimeout = 1500 * time.Millisecond
 	// maxPolicyAge is the age of the policy above which no tasks start. Watches confirm it
 	// every second; operators expect starts to end within 5 s after they take a zone out.
--- a/internal/job/scheduler/rearrange.go
+++ b/internal/job/scheduler/rearrange.go
@@ -55,10 +55,10 @@
 // rotate stops long-running tasks so that others that have been unavailable for long can start
 // in their place.
 func (o *owner) rotate(now time.Time) {
-	for _, t := range planner.Rotations(o.input(now)) {
-		if o.orderStop(t.Run, "rotates with a long-running task") {
-			t.Run.Task.Yielded = true
-			o.state.SetRelocation(t.Task, t.Relocation(now), now)
+	for _, r := range planner.Rotations(o.input(now)) {
+		if o.orderStop(r.Run, "rotates with a long-running task") {
+			r.Run.Task.Yielded = true
+			o.state.SetRelocation(r.Task, r.Relocation(now), now)
 		}
 	}
 }
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 // CancelKey returns the key of a job's cancellation.
 func CancelKey(id string) string { return cancelPrefix + id }
 
-// ProgressKey returns the key of a job's progress, an tracker.Record.
+// ProgressKey returns the key of a job's progress, a tracker.Record.
 func ProgressKey(id string) string { return progressPrefix + id }
 
 // Durations that the owner and the agents share.
--- a/internal/job/scheduler/session.go
+++ b/internal/job/scheduler/session.go
@@ -247,8 +247,8 @@
 // unconfirmedStarts lists the unconfirmed starts by the earlier processes of the VM's agent.
 func unconfirmedStarts(vm *tracker.VM, now time.Time) []messenger.WorkUnconfirmedStart {
 	var all []messenger.WorkUnconfirmedStart
-	for _, d := range vm.InheritedStarts(now) {
-		all = append(all, messenger.WorkUnconfirmedStart{Task: d.Key.Task.String(), Run: d.Key.Number, AgeMillis: d.Age.Milliseconds()})
+	for _, s := range vm.InheritedStarts(now) {
+		all = append(all, messenger.WorkUnconfirmedStart{Task: s.Key.Task.String(), Run: s.Key.Number, AgeMillis: s.Age.Milliseconds()})
 	}
 	return all
 }
@@ -281,9 +281,9 @@
 		rep.UnconfirmedStarts = append(rep.UnconfirmedStarts, tracker.UnconfirmedStart{Key: tracker.RunKey{Task: id, Number: w.Run}, Age: time.Duration(w.AgeMillis) * time.Millisecond})
 	}
 	info := tracker.VMInfo{Name: r.VM}
-	if f := r.VMInfo; f != nil {
-		info.Zone, info.Rack, info.Service, info.Labels, info.Capacity = f.Zone, f.Rack, f.Service, f.Labels, f.Capacity
-		info.WorkerID = f.WorkerID
+	if v := r.VMInfo; v != nil {
+		info.Zone, info.Rack, info.Service, info.Labels, info.Capacity = v.Zone, v.Rack, v.Service, v.Labels, v.Capacity
+		info.WorkerID = v.WorkerID
 	}
 	return rep, info, nil
 }
--- a/internal/job/specifier/specifier.go
+++ b/internal/job/specifier/specifier.go
@@ -52,7 +52,7 @@
 	SameRack       bool      `json:"same-rack,omitempty"`   // the tasks are slow when spread over several racks
 	Label          string    `json:"label,omitempty"`       // required of the VM
 	DataRack       string    `json:"data-rack,omitempty"`   // rack that holds the input data; tasks are slow elsewhere
-	MaxPerVM       int       `json:"max-per-vm,omitempty"`  // tasks of one occurrence on a VM; 0: no limit
+	MaxPerVM       int       `json:"max-per-vm,omitempty"`  // tasks of the step, within one occurrence, on a VM; 0: no limit
 	Copies         bool      `json:"copies,omitempty"`      // several runs of a task are allowed at once; the first to end counts
 	LongRunning    bool      `json:"lasting,omitempty"`     // long-running: runs until the job is cancelled
 	MaxUnavailable int       `json:"max-away,omitempty"`    // long-running tasks that orders may make unavailable at once; 0: no limit requested
--- a/internal/job/tracker/record.go
+++ b/internal/job/tracker/record.go
@@ -214,7 +214,7 @@
 
 // Reconcile marks jobs as reconciled, so that they may start: all of them if every VM has
 // reported, otherwise those for which all runs under earlier owners have certainly ended.
-// It returns how many jobs are left.
+// It returns how many jobs are not reconciled yet.
 func (tr *Tracker) Reconcile(allReported bool, now time.Time) int {
 	waiting := 0
 	for _, j := range tr.Jobs {
--- a/internal/job/tracker/run.go
+++ b/internal/job/tracker/run.go
@@ -208,13 +208,13 @@
 		tr.taskDone(t, now)
 	case EndFailed:
 		vm.recordFailure(key.Task, now)
-		t.recordFailedOn(vm.Name)
+		t.avoidVM(vm.Name)
 		tr.taskFailed(t, key.Number, now)
 	case EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete, EndLost:
 	}
 }
 
-func (t *Task) recordFailedOn(vm string) {
+func (t *Task) avoidVM(vm string) {
 	if t.AvoidedVMs == nil {
 		t.AvoidedVMs = make(map[string]bool)
 	}
--- a/internal/job/tracker/state.go
+++ b/internal/job/tracker/state.go
@@ -80,7 +80,7 @@
 	Runs       []*Run  // runs that have not ended; more than one only if copies are allowed
 	WaitSince  time.Time
 	NotBefore  time.Time       // earliest restart after a failure
-	AvoidedVMs map[string]bool // VMs on which a run of it failed or was refused
+	AvoidedVMs map[string]bool // VMs on which a run of it failed
 	Relocation Relocation      // zero: it is not being moved
 	Yielded    bool            // long-running task that was stopped to free capacity for urgent ones
 }
--- a/internal/job/tracker/tracker_test.go
+++ b/internal/job/tracker/tracker_test.go
@@ -302,8 +302,8 @@
 // expired. Jobs submitted later wait only for the lease of the earlier owner.
 func TestReconcile(t *testing.T) {
 	tr := newState(t, 2)
-	for i, reconciled := range []time.Time{at(7000), at(2000), {}} {
-		tr.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconciled, begin)
+	for i, reconcileAt := range []time.Time{at(7000), at(2000), {}} {
+		tr.AddJob(&specifier.Job{ID: jobID(i), Queue: "q", Steps: []specifier.Step{{Count: 1, Needs: oneCore}}}, reconcileAt, begin)
 	}
 	for _, tt := range []struct{ millis, startable, waiting int }{{1999, 1, 2}, {2000, 2, 1}, {7000, 3, 0}} {
 		waiting := tr.Reconcile(false, at(tt.millis))
--- a/internal/job/tracker/unconfirmed.go
+++ b/internal/job/tracker/unconfirmed.go
@@ -6,8 +6,8 @@
 // may still be carried out. The users' platform documents a maximum of 12 s.
 const UnconfirmedStartMaxAge = 15 * time.Second
 
-// recordedStart is a start call that was not answered. It does not reserve the task; the
-// run does, for as long as it is counted on the VM.
+// recordedStart is a start call that was not answered. It does not keep its task from starting
+// elsewhere; the run does, for as long as it is counted on the VM.
 type recordedStart struct {
 	sentAt  time.Time
 	process int64 // process of the agent that reported it; 0: one that has ended
