--- a/internal/worker/attender/attender.go
+++ b/internal/worker/attender/attender.go
@@ -20,8 +20,8 @@
 
 // Intervals and timeouts.
 const (
-	// maxReportInterval is the longest pause between reports. The owner gives up on an agent
-	// without a report for three times as long.
+	// maxReportInterval is the longest pause between reports. The owner detaches a VM after
+	// 1.5 s without a report.
 	maxReportInterval = 400 * time.Millisecond
 	// minReportInterval is the shortest pause between reports, unless the owner asks for a
 	// longer one, so that ends that occur together share a report.
@@ -158,7 +158,7 @@
 	case <-conn.Done():
 		return fmt.Errorf("connection to owner %s ended", conn.Remote())
 	case <-a.config.Guardian.Wake():
-		return pauser.Pause(ctx, max(minReportInterval, a.config.Guardian.ReportGap()))
+		return pauser.Pause(ctx, max(minReportInterval, a.config.Guardian.RequestedReportInterval()))
 	case <-timer.C:
 		return nil
 	}
--- a/internal/worker/driver/driver.go
+++ b/internal/worker/driver/driver.go
@@ -109,7 +109,7 @@
 	return &Driver{config: c, client: client}
 }
 
-// StartOptions describes an attempt to start.
+// StartOptions describes the attempt that StartTask starts.
 type StartOptions struct {
 	TaskID     string
 	Attempt    int64
--- a/internal/worker/guardian/guardian.go
+++ b/internal/worker/guardian/guardian.go
@@ -60,34 +60,34 @@
 	config Config
 	wake   chan struct{} // signalled when there is something new to report
 
-	mu                sync.Mutex
-	vmInfo            *messenger.WorkVMInfo
-	incarnation       string // of the worker; empty until first contact
-	leaving           bool
-	runs              map[tracker.RunKey]*run
-	unconfirmedStarts map[tracker.RunKey]unconfirmedStart // starts without an answer
-	ends              []ListedEnd
-	endsStored        int64
-	epoch             int64
-	session           int64
-	process           int64 // identifies this agent process
-	ordersSeen        int64
-	grantUntil        time.Time             // the owner has granted lease time until then
-	vmInfoAcked       *messenger.WorkVMInfo // acknowledged in this session by the reply to a report
-	vmInfoSent        *messenger.WorkVMInfo // in the latest report
-	reportGap         time.Duration         // minimum time between reports that the owner asks for
-	reportedAt        time.Time             // when the last report was made
-	repliedAt         time.Time             // when the last report that got a reply was sent
-	clock             time.Duration
-	clockAt           time.Time          // when clock was received; zero: not yet from this incarnation
-	failedPolls       int                // in a row
-	absentPolls       int                // in a row that found no process
-	unresponsiveSince time.Time          // when polls began to fail; zero: they succeed
-	leaseEnd          time.Time          // when all requested leases have expired for certain
-	cancelPoll        context.CancelFunc // cancels the poll in progress
-	polledEpoch       int64              // epoch of the last poll that this incarnation answered
-	lastPollSentAt    time.Time          // when that poll was sent; zero: this incarnation has answered none
-	runCtx            context.Context
+	mu                      sync.Mutex
+	vmInfo                  *messenger.WorkVMInfo
+	incarnation             string // of the worker; empty until first contact
+	leaving                 bool
+	runs                    map[tracker.RunKey]*run
+	unconfirmedStarts       map[tracker.RunKey]unconfirmedStart // starts without an answer
+	ends                    []ListedEnd
+	endsStored              int64
+	epoch                   int64
+	session                 int64
+	process                 int64 // identifies this agent process
+	ordersSeen              int64
+	grantUntil              time.Time             // the owner has granted lease time until then
+	vmInfoAcked             *messenger.WorkVMInfo // acknowledged in this session by the reply to a report
+	vmInfoSent              *messenger.WorkVMInfo // in the latest report
+	requestedReportInterval time.Duration         // minimum time between reports that the owner asks for
+	reportedAt              time.Time             // when the last report was made
+	repliedAt               time.Time             // when the last report that got a reply was sent
+	clock                   time.Duration         // the worker's clock in its latest answer to a poll
+	clockAt                 time.Time             // when clock was received; zero: not yet from this incarnation
+	failedPolls             int                   // in a row
+	absentPolls             int                   // in a row that found no process
+	unresponsiveSince       time.Time             // when polls began to fail; zero: they succeed
+	leaseEnd                time.Time             // when all requested leases have expired for certain
+	cancelPoll              context.CancelFunc    // cancels the poll in progress
+	polledEpoch             int64                 // epoch of the last poll that this incarnation answered
+	lastPollSentAt          time.Time             // when that poll was sent; zero: this incarnation has answered none
+	runCtx                  context.Context
 }
 
 // New returns a Guardian that has no state of its worker yet.
@@ -238,11 +238,11 @@
 	return g.session
 }
 
-// ReportGap returns the minimum time between reports that the owner asks for.
-func (g *Guardian) ReportGap() time.Duration {
+// RequestedReportInterval returns the minimum time between reports that the owner asks for.
+func (g *Guardian) RequestedReportInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.reportGap
+	return g.requestedReportInterval
 }
 
 // ApplyReply applies the owner's reply to a report sent at sentAt. It returns false if the reply
@@ -255,7 +255,7 @@
 	}
 	g.followLocked(reply.Epoch)
 	g.repliedAt, g.vmInfoAcked = sentAt, g.vmInfoSent
-	g.reportGap = time.Duration(reply.GapMillis) * time.Millisecond
+	g.requestedReportInterval = time.Duration(reply.GapMillis) * time.Millisecond
 	if until := sentAt.Add(time.Duration(reply.GrantMillis) * time.Millisecond); until.After(g.grantUntil) {
 		if !g.grantUntil.After(g.config.Now()) {
 			g.signal()           // the owner orders nothing before a report shows the grant
--- a/internal/worker/guardian/guardian_test.go
+++ b/internal/worker/guardian/guardian_test.go
@@ -150,7 +150,7 @@
 	e := newTestEnv(t, worker)
 	e.g.Follow(1)
 	e.session = e.g.BeginSession()
-	granted := time.Now()
+	grantedAt := time.Now()
 	e.grant(1, 400*time.Millisecond)
 	end := time.Since(worker.startedAt) + 400*time.Millisecond
 	time.Sleep(700 * time.Millisecond)
@@ -160,7 +160,7 @@
 			longest = max(longest, l)
 		}
 		if longest == 0 || longest > end+20*time.Millisecond {
-			t.Errorf("a lease until %s was requested; the grant of %s ends at %s", longest, granted, end)
+			t.Errorf("a lease until %s was requested; the grant received at %s ends at %s", longest, grantedAt, end)
 		}
 		if last := worker.leases[len(worker.leases)-1]; last != 0 {
 			t.Errorf("a lease until %s was requested after the grant", last)
--- a/internal/worker/guardian/stale_state_test.go
+++ b/internal/worker/guardian/stale_state_test.go
@@ -72,8 +72,8 @@
 	worker.withLock(func() { worker.incarnation = "incarnation-2" })
 	e.g.Announce(Announcement{ID: "id-2", Incarnation: "incarnation-2", Zone: "z", Capacity: specifier.Resources{CPUMillis: 4000, MemoryMB: 1000}})
 	e.until("report of the new incarnation", func() bool { return e.report().Incarnation == "incarnation-2" })
-	if f := e.report().VMInfo; f == nil || f.WorkerID != "id-2" || f.Capacity.CPUMillis != 4000 {
-		t.Errorf("reported %+v", f)
+	if info := e.report().VMInfo; info == nil || info.WorkerID != "id-2" || info.Capacity.CPUMillis != 4000 {
+		t.Errorf("reported %+v", info)
 	}
 }
 
--- a/internal/worker/guardian/unconfirmed_starts.go
+++ b/internal/worker/guardian/unconfirmed_starts.go
@@ -38,9 +38,9 @@
 
 func (g *Guardian) dropExpiredStartsLocked() {
 	now := g.config.Now()
-	for k, d := range g.unconfirmedStarts {
-		if now.Sub(d.sentAt) >= tracker.UnconfirmedStartMaxAge {
-			delete(g.unconfirmedStarts, k)
+	for key, s := range g.unconfirmedStarts {
+		if now.Sub(s.sentAt) >= tracker.UnconfirmedStartMaxAge {
+			delete(g.unconfirmedStarts, key)
 		}
 	}
 }
@@ -49,37 +49,37 @@
 func (g *Guardian) unconfirmedStartsLocked() []messenger.WorkUnconfirmedStart {
 	g.dropExpiredStartsLocked()
 	var all []messenger.WorkUnconfirmedStart
-	for key, d := range g.unconfirmedStarts {
-		all = append(all, messenger.WorkUnconfirmedStart{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(d.sentAt).Milliseconds()})
+	for key, s := range g.unconfirmedStarts {
+		all = append(all, messenger.WorkUnconfirmedStart{Task: key.Task.String(), Run: key.Number, AgeMillis: g.config.Now().Sub(s.sentAt).Milliseconds()})
 	}
 	return all
 }
 
 // adoptUnconfirmedStartLocked adopts a start sent by an earlier process of this agent, unless
 // the worker is known to have the run.
-func (g *Guardian) adoptUnconfirmedStartLocked(d messenger.WorkUnconfirmedStart) {
-	id, err := specifier.ParseTaskID(d.Task)
+func (g *Guardian) adoptUnconfirmedStartLocked(s messenger.WorkUnconfirmedStart) {
+	id, err := specifier.ParseTaskID(s.Task)
 	if err != nil {
-		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": d.Task, "error": err.Error()})
+		g.config.Reporter.Report(reporter.OrderMalformed, reporter.Fields{"task": s.Task, "error": err.Error()})
 		return
 	}
-	key := tracker.RunKey{Task: id, Number: d.Run}
+	key := tracker.RunKey{Task: id, Number: s.Run}
 	if _, known := g.unconfirmedStarts[key]; known || g.runs[key] != nil && g.runs[key].confirmed {
 		return
 	}
-	g.unconfirmedStarts[key] = unconfirmedStart{sentAt: g.config.Now().Add(-time.Duration(d.AgeMillis) * time.Millisecond)}
+	g.unconfirmedStarts[key] = unconfirmedStart{sentAt: g.config.Now().Add(-time.Duration(s.AgeMillis) * time.Millisecond)}
 }
 
 // fenceUnconfirmedStartsLocked asks the current incarnation of the worker to refuse the
 // unconfirmed starts that it has not been asked to refuse yet.
 func (g *Guardian) fenceUnconfirmedStartsLocked() {
 	g.dropExpiredStartsLocked()
-	for key, d := range g.unconfirmedStarts {
-		if d.incarnation == g.incarnation || g.incarnation == "" {
+	for key, s := range g.unconfirmedStarts {
+		if s.incarnation == g.incarnation || g.incarnation == "" {
 			continue
 		}
-		d.incarnation = g.incarnation
-		g.unconfirmedStarts[key] = d
+		s.incarnation = g.incarnation
+		g.unconfirmedStarts[key] = s
 		if g.runs[key] == nil { // otherwise it is already being stopped
 			g.config.Reporter.Report(reporter.RunStopped, reporter.Fields{"task": key.Task.String(), "run": key.Number, "cause": "unconfirmed start", "life": g.incarnation})
 			go g.fence(g.runCtx, key, g.incarnation)
--- a/internal/worker/invoker/invoker.go
+++ b/internal/worker/invoker/invoker.go
@@ -114,11 +114,11 @@
 		}
 		return json.NewDecoder(reply.Body).Decode(answer)
 	case http.StatusConflict:
-		var f Refusal
-		if err := json.NewDecoder(reply.Body).Decode(&f); err != nil {
+		var refusal Refusal
+		if err := json.NewDecoder(reply.Body).Decode(&refusal); err != nil {
 			return fmt.Errorf("decode refusal of %s: %w", path, err)
 		}
-		return guardian.ErrRefused{Reason: guardian.RefusalReason(f.Reason)}
+		return guardian.ErrRefused{Reason: guardian.RefusalReason(refusal.Reason)}
 	}
 	return fmt.Errorf("executor answered %s with status %d", path, reply.StatusCode)
 }
