--- a/internal/agent/gatekeeper/attempts.go
+++ b/internal/agent/gatekeeper/attempts.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	attemptRetention  = 2 * time.Minute // above twice the longest deadline
+	attemptRetention  = 2 * time.Minute // twice the longest deadline
 	maxRecentAttempts = 200_000
 )
 
--- a/internal/agent/gatekeeper/gatekeeper.go
+++ b/internal/agent/gatekeeper/gatekeeper.go
@@ -29,7 +29,8 @@
 type Config struct {
 	Reporter *reporter.Reporter
 	// Expiry is the time without a renewal after which an upstream gets no new
-	// requests; default 2.5 s, so that the last request reaches it within 3 s.
+	// requests; default 2.5 s, so that the last request reaches it within 3 s
+	// of its last renewal.
 	Expiry time.Duration
 	// MaxOverrun is how long the slot of a request past its deadline stays
 	// occupied while its upstream is still working on it; default 5 s.
@@ -272,7 +273,7 @@
 		g.inFlight--
 	}
 	if reply.Outcome != messenger.OutcomeNotRun {
-		u.meanTime += (elapsed - u.meanTime) / meanTimeWeight
+		u.meanTime += (elapsed - u.meanTime) / ewmaDivisor
 		meter, ok := g.meters[u.service]
 		if !ok {
 			meter = &loadMeter{}
--- a/internal/agent/gatekeeper/pool.go
+++ b/internal/agent/gatekeeper/pool.go
@@ -100,7 +100,7 @@
 	p.mu.Unlock()
 }
 
-// close closes the idle connections; those in use are closed by put.
+// close closes the idle connections; those in use are closed by put or drop.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/gatekeeper/upstream.go
+++ b/internal/agent/gatekeeper/upstream.go
@@ -8,8 +8,7 @@
 	"bamboospread/internal/wire/messenger"
 )
 
-// meanTimeWeight is the inverse weight of one request in the mean request time.
-const meanTimeWeight = 16
+const ewmaDivisor = 16 // a new sample has a weight of 1/16 in the mean request time
 
 // upstream is one local upstream. The Gatekeeper's lock guards the fields that
 // change; the pool has a lock of its own.
--- a/internal/agent/runner/order.go
+++ b/internal/agent/runner/order.go
@@ -164,8 +164,8 @@
 	return false
 }
 
-// elapsed compares the wall clock as well, since the monotonic clock stops while
-// the whole VM is suspended.
+// elapsed returns the time between two readings of the clock. It compares the wall
+// clock as well, since the monotonic clock stops while the whole VM is suspended.
 func (r *Runner) elapsed(from, now time.Time) time.Duration {
 	return max(now.Sub(from), now.Round(0).Sub(from.Round(0)))
 }
--- a/internal/agent/runner/runner.go
+++ b/internal/agent/runner/runner.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	pollHoldTime        = time.Second // how long the owner may hold a poll
+	pollWaitTime        = time.Second // how long the owner may keep a poll pending
 	pollTimeout         = 2500 * time.Millisecond
 	retryDelay          = 150 * time.Millisecond
 	endCheckInterval    = 100 * time.Millisecond // for tasks that end while a poll waits
@@ -166,7 +166,7 @@
 	p := messenger.Poll{
 		Cell: r.config.Cell, AgentID: r.config.AgentID, Incarnation: r.config.Incarnation, Epoch: r.epoch,
 		Sequence: r.sequence, Capacity: r.capacity, Upstreams: r.upstreams(), Leaving: r.leaving.Load(),
-		WaitMillis: messenger.Millis(pollHoldTime),
+		WaitMillis: messenger.Millis(pollWaitTime),
 	}
 	for _, t := range r.tasks {
 		// The worker's report replaces an earlier refusal recorded here.
@@ -261,8 +261,8 @@
 	}
 }
 
-// hasUnreportedEnd reports whether the worker has an ended attempt that the poll
-// does not report as ended.
+// hasUnreportedEnd reports whether the worker has fewer running attempts than the
+// poll lists: then one has ended that the poll does not report as ended.
 func (r *Runner) hasUnreportedEnd(ctx context.Context, p messenger.Poll) bool {
 	running := 0
 	for _, t := range p.Tasks {
--- a/internal/control/bookkeeper/apply.go
+++ b/internal/control/bookkeeper/apply.go
@@ -314,9 +314,9 @@
 	return nil
 }
 
-// storeAnswer limits the total size of stored answers, which are part of each
-// snapshot. The oldest bodies are dropped; a repeat of such a request gets only
-// the status that shows that it ran.
+// storeAnswer records the size of a stored answer and limits the total size of
+// all, since they are part of each snapshot. The oldest bodies are dropped; a
+// repeat of such a request gets only the status that shows that it ran.
 func (s *CellState) storeAnswer(key string, c *Claim) {
 	if c.Answer == nil || len(c.Answer.Body) == 0 {
 		return
--- a/internal/control/bookkeeper/bookkeeper_test.go
+++ b/internal/control/bookkeeper/bookkeeper_test.go
@@ -61,8 +61,8 @@
 	return r
 }
 
-func encode(t *rapid.T, b *CellState) string {
-	raw, err := b.Encode()
+func encode(t *rapid.T, s *CellState) string {
+	raw, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,25 +74,25 @@
 // same, and each journalled record must apply again.
 func TestReplayFromSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New()
+		s := New()
 		var journal [][]byte
 		count := rapid.IntRange(1, 80).Draw(t, "records")
 		snapshotAfter := rapid.IntRange(0, count).Draw(t, "cut")
-		snapshot, from := encode(t, b), 0
+		snapshot, from := encode(t, s), 0
 		for n := range count {
 			r := drawRecord(t, n+1)
 			raw, err := json.Marshal(r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			before := encode(t, b)
-			if b.Apply(r) == nil {
+			before := encode(t, s)
+			if s.Apply(r) == nil {
 				journal = append(journal, raw)
-			} else if after := encode(t, b); after != before {
+			} else if after := encode(t, s); after != before {
 				t.Fatalf("a rejected record changed the state: %s", cmp.Diff(before, after))
 			}
 			if n+1 == snapshotAfter {
-				snapshot, from = encode(t, b), len(journal)
+				snapshot, from = encode(t, s), len(journal)
 			}
 		}
 		replayed, err := Decode([]byte(snapshot))
@@ -108,10 +108,10 @@
 				t.Fatalf("journalled record is rejected on replay: %v", err)
 			}
 		}
-		if diff := cmp.Diff(encode(t, b), encode(t, replayed)); diff != "" {
+		if diff := cmp.Diff(encode(t, s), encode(t, replayed)); diff != "" {
 			t.Fatal(diff)
 		}
-		if diff := cmp.Diff(b.Counts(), replayed.Counts()); diff != "" {
+		if diff := cmp.Diff(s.Counts(), replayed.Counts()); diff != "" {
 			t.Fatal(diff)
 		}
 	})
@@ -122,15 +122,15 @@
 // two VMs.
 func TestNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New()
+		s := New()
 		for n := range rapid.IntRange(1, 120).Draw(t, "records") {
-			_ = b.Apply(drawRecord(t, n+1))
+			_ = s.Apply(drawRecord(t, n+1))
 			held := make(map[string]string)
-			for _, vm := range b.VMs() {
-				if c := b.Committed(vm); !c.Fits(b.VM(vm).Seen.Capacity.Total) {
+			for _, vm := range s.VMs() {
+				if c := s.Committed(vm); !c.Fits(s.VM(vm).Seen.Capacity.Total) {
 					t.Fatalf("VM %s is overcommitted: %+v", vm, c)
 				}
-				for _, task := range b.On(vm) {
+				for _, task := range s.On(vm) {
 					if other, twice := held[task.Spec.ID]; twice {
 						t.Fatalf("task %s holds resources of VMs %s and %s", task.Spec.ID, other, vm)
 					}
@@ -157,7 +157,7 @@
 		{"more upstreams than replicas", 1, 3, 900},
 	}
 	for _, c := range cases {
-		b := New()
+		s := New()
 		seen := &VMSeen{Capacity: messenger.Capacity{VM: "v", Total: describer.Resources{Millicores: 1000}}}
 		records := []Record{{VMSeen: seen}}
 		for i := range c.replicas {
@@ -168,11 +168,11 @@
 		announced := *seen
 		announced.Services = []ServiceUsage{{Service: "s", Count: c.upstreams, Needs: needs}}
 		for _, r := range append(records, Record{VMSeen: &announced}) {
-			if err := b.Apply(r); err != nil {
+			if err := s.Apply(r); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := b.Committed("v").Millicores; got != c.want {
+		if got := s.Committed("v").Millicores; got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -196,7 +196,7 @@
 // TestAnswersAreBounded closes claims with large answers. The state must keep
 // the latest answers and still record for each claim that its request ran.
 func TestAnswersAreBounded(t *testing.T) {
-	b := New()
+	s := New()
 	body := make([]byte, 1<<20)
 	const requests = 20
 	for n := range requests {
@@ -205,14 +205,14 @@
 			{At: start, Claimed: &Claimed{Tenant: "x", Key: key, RequestID: "r"}},
 			{At: start, ClaimClosed: &ClaimClosed{Tenant: "x", Key: key, RequestID: "r", Outcome: messenger.OutcomeRun, Answer: &messenger.StoredAnswer{Status: 200, Body: body, Complete: true}}},
 		} {
-			if err := b.Apply(r); err != nil {
+			if err := s.Apply(r); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	complete := 0
 	for n := range requests {
-		c := b.Claim("x", fmt.Sprint("k", n))
+		c := s.Claim("x", fmt.Sprint("k", n))
 		if c.State != messenger.ClaimResolved || c.Answer.Status != 200 {
 			t.Errorf("claim %d: %+v", n, c)
 		}
@@ -223,7 +223,7 @@
 	if want := maxAnswerBytes / len(body); complete != want {
 		t.Errorf("%d answers stored, want %d", complete, want)
 	}
-	if err := b.Apply(Record{At: start, OldClaimsRemoved: &OldClaimsRemoved{Before: start.Add(time.Hour)}}); err != nil || b.data.AnswerBytes != 0 || b.CountClaims() != 0 {
-		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", b.data.AnswerBytes, b.CountClaims(), err)
+	if err := s.Apply(Record{At: start, OldClaimsRemoved: &OldClaimsRemoved{Before: start.Add(time.Hour)}}); err != nil || s.data.AnswerBytes != 0 || s.CountClaims() != 0 {
+		t.Errorf("after removing old claims: %d bytes, %d claims, error %v", s.data.AnswerBytes, s.CountClaims(), err)
 	}
 }
--- a/internal/control/controller/claim.go
+++ b/internal/control/controller/claim.go
@@ -21,7 +21,7 @@
 
 // notRunRequests holds the requests that were reported as not run, in two generations. A
 // claim may arrive after the report that its request was abandoned. If it were granted
-// then, no client would hold it, and later requests with its key would be refused.
+// then, nothing would resolve it, and later requests with its key would be refused.
 type notRunRequests struct {
 	current, previous map[string]bool // by request id
 	rotatedAt         time.Time
--- a/internal/control/controller/commit_test.go
+++ b/internal/control/controller/commit_test.go
@@ -18,10 +18,10 @@
 	c.waitFor("owner", func() bool { return len(c.status().VMs) == 1 })
 	before, began := c.store.Calls().Calls[keeper.KindSwap], time.Now()
 	done := make(chan error, clients)
-	for a := range clients {
+	for client := range clients {
 		go func() {
 			for i := range each {
-				r := messenger.ClaimRequest{Cell: "c1", Tenant: "caroni", Service: "s", Key: fmt.Sprintf("%d-%d", a, i), RequestID: "r"}
+				r := messenger.ClaimRequest{Cell: "c1", Tenant: "caroni", Service: "s", Key: fmt.Sprintf("%d-%d", client, i), RequestID: "r"}
 				if err := c.call(c.ctx, messenger.MethodClaim, r, &messenger.ClaimReply{}); err != nil {
 					done <- err
 					return
--- a/internal/control/controller/controller_test.go
+++ b/internal/control/controller/controller_test.go
@@ -32,9 +32,9 @@
 	set := metrics.NewSet()
 	c := newCellWith(t, 3, 1, func(config *Config) { config.Metrics = set })
 	for range 2 {
-		for _, v := range c.submit(labels(40)...) {
-			if !v.Accepted {
-				t.Errorf("%s refused: %s", v.ID, v.Reason)
+		for _, result := range c.submit(labels(40)...) {
+			if !result.Accepted {
+				t.Errorf("%s refused: %s", result.ID, result.Reason)
 			}
 		}
 	}
@@ -125,9 +125,9 @@
 		{"same id, other task", messenger.TaskSpec{ID: "e", Tenant: "caroni", Class: "labels", Payload: "x"}, false, ""},
 	}
 	for _, tc := range cases {
-		v := c.submit(tc.spec)[0]
-		if v.Accepted != tc.accepted || v.State != tc.state || v.Reason == "" && tc.state != messenger.TaskQueued {
-			t.Errorf("%s: got %+v", tc.name, v)
+		result := c.submit(tc.spec)[0]
+		if result.Accepted != tc.accepted || result.State != tc.state || result.Reason == "" && tc.state != messenger.TaskQueued {
+			t.Errorf("%s: got %+v", tc.name, result)
 		}
 	}
 	c.waitFor("held after all its attempts failed", func() bool { return c.task("f").State == messenger.TaskHeld })
--- a/internal/control/controller/lost_test.go
+++ b/internal/control/controller/lost_test.go
@@ -66,11 +66,11 @@
 func TestSubmitRightAfterApply(t *testing.T) {
 	older := describer.New(describer.Config{Name: "test", Version: 1, Zones: []describer.Zone{{Name: "z0", State: describer.ZoneIn}}})
 	c := newCellWith(t, 1, 1, func(config *Config) { config.Fleet = func() *describer.Fleet { return older } })
-	if v := c.submit(messenger.TaskSpec{ID: "a", Tenant: "nobody", Class: "labels"})[0]; v.Accepted {
+	if result := c.submit(messenger.TaskSpec{ID: "a", Tenant: "nobody", Class: "labels"})[0]; result.Accepted {
 		t.Error("a task of a tenant that is not in the store was accepted")
 	}
 	c.setFleet(2, "")
-	if v := c.submit(messenger.TaskSpec{ID: "b", Tenant: "caroni", Class: "labels"})[0]; !v.Accepted {
-		t.Errorf("refused: %s", v.Reason)
+	if result := c.submit(messenger.TaskSpec{ID: "b", Tenant: "caroni", Class: "labels"})[0]; !result.Accepted {
+		t.Errorf("refused: %s", result.Reason)
 	}
 }
--- a/internal/control/controller/metrics.go
+++ b/internal/control/controller/metrics.go
@@ -38,17 +38,18 @@
 	}
 }
 
-// observeStartWait records how long a batch task waited for its first start, and
-// observeTurnaround how long it took from submission to completion. The fleet text limits
-// the number of tenants and classes, and with them the number of label values.
+// observeStartWait records how long a batch task waited for its first start.
 func (m cellMetrics) observeStartWait(s messenger.TaskSpec, d time.Duration) {
 	m.observeTask("start_wait", s, d)
 }
 
+// observeTurnaround records how long a batch task took from submission to completion.
 func (m cellMetrics) observeTurnaround(s messenger.TaskSpec, d time.Duration) {
 	m.observeTask("turnaround", s, d)
 }
 
+// observeTask updates a histogram of batch tasks. The fleet text limits the number of
+// tenants and classes, and with them the number of label values.
 func (m cellMetrics) observeTask(metric string, s messenger.TaskSpec, d time.Duration) {
 	if s.Service != "" {
 		return
--- a/internal/control/controller/planning.go
+++ b/internal/control/controller/planning.go
@@ -173,8 +173,8 @@
 		Quarantined: v.Quarantined != "" || v.Quarantines > 0 && o.state.CountOn(name) > 0,
 		ReturnedAt:  o.zoneReturnedAt[c.Zone], LastAdjustedAt: session.lastAdjusted,
 	}
-	for _, h := range v.Seen.Services {
-		vm.Services = append(vm.Services, h.Service)
+	for _, u := range v.Seen.Services {
+		vm.Services = append(vm.Services, u.Service)
 	}
 	for _, t := range o.state.On(name) {
 		if t.Spec.Service != "" && !slices.Contains(vm.Services, t.Spec.Service) {
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -26,7 +26,7 @@
 
 // session is the volatile state of a VM, which the owner keeps for one epoch.
 type session struct {
-	contacted    bool // the agent has polled in this epoch
+	polled       bool // the agent has polled in this epoch
 	incarnation  int64
 	replaced     map[int64]bool // earlier incarnations of the agent
 	sequence     int64
@@ -67,7 +67,7 @@
 }
 
 func (s *session) reachable(now time.Time) bool {
-	return s.contacted && now.Sub(s.lastPoll) < reachableTimeout
+	return s.polled && now.Sub(s.lastPoll) < reachableTimeout
 }
 
 // handlePoll processes the reports of a VM's agent and keeps the poll pending until there
@@ -88,7 +88,7 @@
 		call.fail(messenger.CodeBadRequest, "poll %d of incarnation %d is outdated: the latest is poll %d of incarnation %d", p.Sequence, p.Incarnation, s.sequence, s.incarnation)
 		return
 	}
-	o.recordContact(s, p)
+	o.recordPoll(s, p)
 	o.recordVM(p)
 	o.applyReports(s, p)
 	o.observeUsage(s, p)
@@ -120,21 +120,21 @@
 	return s
 }
 
-// recordContact updates the session from a poll. Once the agent sends this epoch it has
+// recordPoll updates the session from a poll. Once the agent sends this epoch it has
 // received a reply of this owner, which replaces the lease that an earlier owner granted.
 // Only then does the wait for that owner's longer lease end for this VM.
-func (o *owner) recordContact(s *session, p messenger.Poll) {
+func (o *owner) recordPoll(s *session, p messenger.Poll) {
 	if p.Incarnation != s.incarnation {
 		clear(s.sentOrders)
 		if s.replaced == nil {
 			s.replaced = make(map[int64]bool)
 		}
-		s.replaced[s.incarnation] = s.contacted
+		s.replaced[s.incarnation] = s.polled
 	}
-	if !s.contacted {
+	if !s.polled {
 		o.dirty = true
 	}
-	s.contacted, s.incarnation, s.sequence = true, p.Incarnation, p.Sequence
+	s.polled, s.incarnation, s.sequence = true, p.Incarnation, p.Sequence
 	s.lastPoll = o.config.Now()
 	if p.Epoch == o.epoch && !s.epochAcked {
 		s.epochAcked = true
--- a/internal/control/controller/submission.go
+++ b/internal/control/controller/submission.go
@@ -73,37 +73,37 @@
 }
 
 func (o *owner) submit(spec messenger.TaskSpec, wait *commitWait) messenger.SubmitResult {
-	v := messenger.SubmitResult{ID: spec.ID}
+	result := messenger.SubmitResult{ID: spec.ID}
 	digest, err := digestOf(spec)
 	if err != nil {
-		v.Reason = err.Error()
-		return v
+		result.Reason = err.Error()
+		return result
 	}
 	if t := o.state.Task(spec.ID); t != nil {
 		if t.Digest != digest {
-			v.Reason = "another task with different content has this id"
-			return v
+			result.Reason = "another task with different content has this id"
+			return result
 		}
-		v.Accepted, v.State, v.Reason = true, t.State, t.Reason
+		result.Accepted, result.State, result.Reason = true, t.State, t.Reason
 		if o.commits.uncommitted[spec.ID] > 0 { // accepted, but not journalled yet
 			o.onCommit(wait.add())
 		}
-		return v
+		return result
 	}
-	if v.Reason = o.rejectReason(spec); v.Reason != "" {
-		return v
+	if result.Reason = o.rejectReason(spec); result.Reason != "" {
+		return result
 	}
 	spec = o.applyClassDefaults(spec)
 	o.metrics.submitted.Inc()
 	o.decide(bookkeeper.Record{Submitted: &bookkeeper.Submitted{Spec: spec, Digest: digest}}, reporter.TaskSubmitted,
 		messenger.Decision{Task: spec.ID, Service: spec.Service, Reason: "submitted by tenant " + spec.Tenant}, wait.add())
-	v.Accepted, v.State = true, messenger.TaskQueued
+	result.Accepted, result.State = true, messenger.TaskQueued
 	if reason := o.impossibleReason(spec); reason != "" {
 		o.hold(spec.ID, reason, true, wait.add())
-		v.State, v.Reason = messenger.TaskHeld, reason
+		result.State, result.Reason = messenger.TaskHeld, reason
 	}
 	o.urgent = o.urgent || spec.Urgent
-	return v
+	return result
 }
 
 func digestOf(spec messenger.TaskSpec) (string, error) {
--- a/internal/control/controller/usage.go
+++ b/internal/control/controller/usage.go
@@ -17,9 +17,9 @@
 	}
 	from, to := time.UnixMilli(p.Usage.FromMillis), time.UnixMilli(p.Usage.ToMillis)
 	var placed []Placement
-	for _, h := range s.placements {
-		if h.From.Before(to) && (h.To.IsZero() || h.To.After(from)) {
-			placed = append(placed, h)
+	for _, placement := range s.placements {
+		if placement.From.Before(to) && (placement.To.IsZero() || placement.To.After(from)) {
+			placed = append(placed, placement)
 		}
 	}
 	o.config.ObserveUsage(p.Capacity.VM, *p.Usage, placed)
@@ -39,9 +39,9 @@
 
 func (s *session) prunePlacements(now time.Time) {
 	kept := s.placements[:0]
-	for _, h := range s.placements {
-		if h.To.IsZero() || now.Sub(h.To) < placementRetention {
-			kept = append(kept, h)
+	for _, placement := range s.placements {
+		if placement.To.IsZero() || now.Sub(placement.To) < placementRetention {
+			kept = append(kept, placement)
 		}
 	}
 	s.placements = kept
--- a/internal/control/elector/elector.go
+++ b/internal/control/elector/elector.go
@@ -40,11 +40,11 @@
 	// without waiting for that lease to expire. The epoch alone must then protect
 	// whatever an owner does, because the earlier lease may still be valid.
 	ReplaceOwnRecord bool
-	// ClaimDelay is the minimum time that this process leaves a vacant cell to other
+	// AcquireDelay is the minimum time that this process leaves a vacant cell to other
 	// processes before it tries to acquire it. While the store is slow the delay is
 	// longer, up to the length of the lease.
-	ClaimDelay time.Duration
-	Now        func() time.Time
+	AcquireDelay time.Duration
+	Now          func() time.Time
 	// Store calls; FromKeeper sets them.
 	FindRecords    func(ctx context.Context, o keeper.ListOptions) (keeper.ListResult, error)
 	GetRecord      func(ctx context.Context, key string) (keeper.Record, error)
@@ -97,9 +97,10 @@
 // Held reports whether this process certainly holds the ownership now.
 //
 // The lease is counted from before the renewal was sent, whereas the store counts
-// from when it received the renewal, so it always ends here first. A process that
-// was paused finds the lease expired when it resumes. The wall clock is compared as
-// well, because the monotonic clock does not advance while a whole VM is suspended.
+// from when it received the renewal, so the lease expires here before it expires in
+// the store. A process that was paused finds it expired when it resumes. The wall
+// clock is compared as well, because the monotonic clock does not advance while a
+// whole VM is suspended.
 func (e *Elector) Held() bool { return e.sinceRenewal() < e.config.Lease }
 
 // RenewalOverdue reports whether the lease was not renewed for so long that the store
@@ -118,7 +119,7 @@
 // Acquire waits until this process holds the ownership. The owner's record has no
 // epoch until Publish is called.
 func (e *Elector) Acquire(ctx context.Context) error {
-	for awaitFirst := e.config.ClaimDelay > 0; ; {
+	for awaitFirst := e.config.AcquireDelay > 0; ; {
 		if awaitFirst {
 			e.awaitVacancy(ctx)
 			if err := pauser.Pause(ctx, e.acquireDelay()); err != nil {
@@ -132,7 +133,7 @@
 		if err == nil && !heldByOther {
 			return nil
 		}
-		awaitFirst = heldByOther || e.config.ClaimDelay > 0
+		awaitFirst = heldByOther || e.config.AcquireDelay > 0
 		if err != nil {
 			_ = pauser.Pause(ctx, retryInterval)
 		}
@@ -141,10 +142,10 @@
 
 // acquireDelay returns how long this process currently leaves a vacant cell to others.
 func (e *Elector) acquireDelay() time.Duration {
-	if e.config.ClaimDelay <= 0 {
+	if e.config.AcquireDelay <= 0 {
 		return 0
 	}
-	return max(e.config.ClaimDelay, min(takeoverCalls*e.readLatency, e.config.Lease))
+	return max(e.config.AcquireDelay, min(takeoverCalls*e.readLatency, e.config.Lease))
 }
 
 // tryAcquire tries once to acquire the ownership; heldByOther means that another process
--- a/internal/control/elector/elector_test.go
+++ b/internal/control/elector/elector_test.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	acquired := make(chan error, 1)
-	small := New(FromKeeper(Config{Cell: "c", EntryID: "small", Lease: time.Second, ClaimDelay: 300 * time.Millisecond}, k))
+	small := New(FromKeeper(Config{Cell: "c", EntryID: "small", Lease: time.Second, AcquireDelay: 300 * time.Millisecond}, k))
 	go func() { acquired <- small.Acquire(ctx) }()
 	time.Sleep(50 * time.Millisecond)
 	large := New(FromKeeper(Config{Cell: "c", EntryID: "large", Lease: time.Second}, k))
@@ -155,7 +155,7 @@
 
 // newElectorsOnCompactedStore returns two electors at a store without history before its current
 // revision, and the number of calls that entry-2 makes. The first one owns the cell.
-func newElectorsOnCompactedStore(t *testing.T, claimDelay time.Duration) (first, second *Elector, calls *atomic.Int64) {
+func newElectorsOnCompactedStore(t *testing.T, acquireDelay time.Duration) (first, second *Elector, calls *atomic.Int64) {
 	t.Helper()
 	server := httptest.NewServer(storer.New(storer.Config{}).Handler())
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	calls = &atomic.Int64{}
-	c := FromKeeper(Config{Cell: "c", EntryID: "entry-2", ClaimDelay: claimDelay}, k)
+	c := FromKeeper(Config{Cell: "c", EntryID: "entry-2", AcquireDelay: acquireDelay}, k)
 	watch, find, get := c.Watch, c.FindRecords, c.GetRecord
 	c.Watch = func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error) {
 		calls.Add(1)
@@ -213,23 +213,23 @@
 // Guards against an entry on a small VM that acquires a cell at the moment it becomes vacant
 // because it happened to check just then.
 func TestAcquireDelayStartsAtVacancy(t *testing.T) {
-	const claimDelay = 400 * time.Millisecond
+	const acquireDelay = 400 * time.Millisecond
 	tests := []struct {
 		name  string
 		watch func(ctx context.Context, o keeper.WatchOptions) (keeper.WatchResult, error)
 		slow  time.Duration // delay of each list call
 		least time.Duration // from the vacancy to the acquisition
 	}{
-		{"watched", nil, 0, claimDelay},
+		{"watched", nil, 0, acquireDelay},
 		{"every watch fails", func(context.Context, keeper.WatchOptions) (keeper.WatchResult, error) {
 			return keeper.WatchResult{}, keeper.ErrUnavailable{Cause: errors.New("refused")}
-		}, 0, claimDelay},
+		}, 0, acquireDelay},
 		{"the store is slow", nil, 150 * time.Millisecond, takeoverCalls * 150 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			first, second, _ := newElectorsOnCompactedStore(t, claimDelay)
+			first, second, _ := newElectorsOnCompactedStore(t, acquireDelay)
 			if tt.watch != nil {
 				second.config.Watch = tt.watch
 			}
--- a/internal/control/journaler/journaler.go
+++ b/internal/control/journaler/journaler.go
@@ -88,7 +88,8 @@
 	leftoversDeleted bool
 }
 
-// entryRef identifies an entry that is deleted once a snapshot covers it.
+// entryRef identifies an entry. Once a snapshot covers it, it is deleted unless it is an
+// opening entry.
 type entryRef struct {
 	seq      int64
 	revision int64
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -21,14 +21,14 @@
 	priorVariance = 0.04 // of an effect; a standard deviation of about 20%
 	baseVariance  = 4.0
 	loadVariance  = 0.25
-	initialNoise  = 0.05
-	minNoise      = 0.002
-	noiseWeight   = 0.05 // weight of the latest residual in the noise estimate
-	maxResidual   = 3.0  // residuals are clipped at this number of standard deviations
-	rateWeight    = 0.02 // weight of the latest rate in the mean rate
-	fewRequests   = 100  // with fewer requests, the noise of a p99 grows in inverse proportion
-	shrinkage     = 2.0  // weight of the prior in a mean, in pairs of full confidence
-	maxLoadTerm   = 3.0  // limit of rate/mean rate - 1
+	initialNoise  = 0.05  // variance of a measured log(p99)
+	minNoise      = 0.002 // lower bound of that variance
+	noiseWeight   = 0.05  // weight of the latest residual in the noise estimate
+	maxResidual   = 3.0   // residuals are clipped at this number of standard deviations
+	rateWeight    = 0.02  // weight of the latest rate in the mean rate
+	fewRequests   = 100   // with fewer requests, the noise of a p99 grows in inverse proportion
+	shrinkage     = 2.0   // weight of the prior in a mean, in pairs of full confidence
+	maxLoadTerm   = 3.0   // limit of rate/mean rate - 1
 )
 
 type sample struct {
--- a/internal/control/placer/baseline.go
+++ b/internal/control/placer/baseline.go
@@ -13,8 +13,8 @@
 	return candidate{}, false
 }
 
-// headroomRefusalReason keeps a fixed share of the processors free on a VM that
-// runs a service.
+// headroomRefusalReason refuses a task that would leave less than Config.Headroom
+// of the processors free on a VM that runs a service. It returns "" otherwise.
 func (r *round) headroomRefusalReason(t *Task, v *vmState) string {
 	if len(v.vm.Services) == 0 {
 		return ""
--- a/internal/control/placer/ladder.go
+++ b/internal/control/placer/ladder.go
@@ -151,7 +151,7 @@
 		return
 	}
 	if miss.misses >= r.requiredReports(r.reportsBeforeMove()) {
-		r.moveWorst(at, interfering, miss)
+		r.moveInterferer(at, interfering, miss)
 	}
 }
 
@@ -213,9 +213,9 @@
 	return in.task.Percent
 }
 
-// moveWorst evicts the task that interferes most among those for which another
+// moveInterferer evicts the task that interferes most among those for which another
 // VM is predicted to be better.
-func (r *round) moveWorst(at int, interfering []interferer, miss objectiveMiss) {
+func (r *round) moveInterferer(at int, interfering []interferer, miss objectiveMiss) {
 	for _, in := range interfering {
 		if r.evictionsLeft <= 0 {
 			return
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -97,7 +97,7 @@
 		c.PolicyAge = func() time.Duration { return 0 }
 	}
 	e := elector.New(elector.Config{
-		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, ClaimDelay: c.ClaimDelay,
+		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, AcquireDelay: c.ClaimDelay,
 		FindRecords: c.Store.FindRecords, GetRecord: c.Store.GetRecord, CompareAndSwap: c.Store.CompareAndSwap, GrantLease: c.Store.GrantLease,
 		KeepAlive: c.Store.KeepAlive, RevokeLease: c.Store.RevokeLease, Watch: c.Store.Watch,
 	})
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -1,6 +1,6 @@
-// Package claimer ensures that a request with an idempotency key that is not
-// idempotent runs at most once across all entries: it claims the key at the owner of
-// the cell before anything is sent, and reports the outcome to the owner afterwards.
+// Package claimer ensures that a non-idempotent request with an idempotency key runs at
+// most once across all entries: it claims the key at the owner of the cell before
+// anything is sent, and reports the outcome to the owner afterwards.
 package claimer
 
 import (
--- a/internal/request/receiver/serve.go
+++ b/internal/request/receiver/serve.go
@@ -77,8 +77,7 @@
 	return newRetryableRefusal(status, refused.Reason, refused.RetryAfter)
 }
 
-// routeKeyed claims the key of a keyed request that is not idempotent and routes the
-// request. Without the claim, a repeat through another entry or after a crash of this
+// routeKeyed claims the key of a keyed request and routes the request. Without the claim, a repeat through another entry or after a crash of this
 // one would run the request a second time.
 func (r *Receiver) routeKeyed(ctx context.Context, c *call) *answer {
 	options := c.claim()
--- a/internal/request/retrier/retrier.go
+++ b/internal/request/retrier/retrier.go
@@ -1,5 +1,5 @@
 // Package retrier decides whether a request is sent again after an attempt without an
-// answer. The clock is a function in Config.
+// answer.
 package retrier
 
 import (
