--- a/internal/cli/commander/demo.go
+++ b/internal/cli/commander/demo.go
@@ -67,7 +67,7 @@
 	} else {
 		s.Print(w)
 	}
-	if !s.PromisesKept {
+	if !s.GuaranteesHold {
 		return ExitError{Code: ExitFailed, Err: fmt.Errorf("a guarantee was violated, see the summary")}
 	}
 	return nil
--- a/internal/cli/commander/entry.go
+++ b/internal/cli/commander/entry.go
@@ -55,7 +55,8 @@
 	return cmd
 }
 
-// minLease leaves time for three renewals of a second each.
+// minLease lets an owner repeat a renewal whose store call timed out after a second, before
+// its lease expires.
 const minLease = 2 * time.Second
 
 func checkEntry(c server.Config, findings *loader.Findings) {
--- a/internal/cli/commander/process.go
+++ b/internal/cli/commander/process.go
@@ -36,7 +36,7 @@
 	f.DurationVar(&p.stopTimeout, "stop-limit", defaultStopTimeout, "time limit of a graceful stop")
 }
 
-// newReporter adds a finding for each bad log setting.
+// newReporter returns the reporter of a process. It adds a finding for each invalid setting.
 func (p *processFlags) newReporter(w io.Writer, role string, findings *loader.Findings) *reporter.Reporter {
 	if p.id == "" || strings.ContainsAny(p.id, "/ \t\n") {
 		findings.Add("id", "%q is not a valid name: it must not be empty or contain spaces, tabs, line breaks or slashes", p.id)
--- a/internal/demo/demonstrator/job.go
+++ b/internal/demo/demonstrator/job.go
@@ -64,7 +64,7 @@
 }
 
 // runJob submits the job once through each entry and waits for its end.
-func (d *Demonstrator) runJob(ctx context.Context, t *observations) error {
+func (d *Demonstrator) runJob(ctx context.Context, obs *observations) error {
 	ctx, cancel := context.WithTimeout(ctx, jobLimit)
 	defer cancel()
 	body, err := json.Marshal(specifier.Job{Payload: jobPayload, Steps: jobSteps})
@@ -84,16 +84,16 @@
 			continue // polled again
 		}
 	}
-	t.mu.Lock()
-	t.jobState = a.State
-	t.mu.Unlock()
+	obs.mu.Lock()
+	obs.jobState = a.State
+	obs.mu.Unlock()
 	d.progress("job is %s", a.State)
 	return nil
 }
 
 // countJob counts the job's tasks in the events of the executors.
 func (d *Demonstrator) countJob(state string) jobCounts {
-	o := jobCounts{state: state}
+	c := jobCounts{state: state}
 	running, done := make(map[string]int), make(map[string]int)
 	var firstSecond, lastFirst time.Time
 	for _, e := range d.executors {
@@ -106,7 +106,7 @@
 			case v.Kind == "start":
 				running[v.Task]++
 				if running[v.Task] > 1 {
-					o.twice++
+					c.twice++
 				}
 				if id.Step == 1 && (firstSecond.IsZero() || v.At.Before(firstSecond)) {
 					firstSecond = v.At
@@ -123,13 +123,13 @@
 		}
 	}
 	for _, n := range done {
-		o.done++
-		o.twice += n - 1
+		c.done++
+		c.twice += n - 1
 	}
 	if !firstSecond.IsZero() && firstSecond.Before(lastFirst) {
-		o.early++
+		c.early++
 	}
-	return o
+	return c
 }
 
 func jobTaskCount() int {
@@ -141,6 +141,6 @@
 }
 
 // guaranteesHold reports whether the guarantees about the job hold.
-func (o jobCounts) guaranteesHold() bool {
-	return o.state == "done" && o.done == jobTaskCount() && o.twice == 0 && o.early == 0
+func (c jobCounts) guaranteesHold() bool {
+	return c.state == "done" && c.done == jobTaskCount() && c.twice == 0 && c.early == 0
 }
--- a/internal/demo/demonstrator/load.go
+++ b/internal/demo/demonstrator/load.go
@@ -34,16 +34,16 @@
 	if err := d.waitUntilReady(ctx); err != nil {
 		return Summary{}, err
 	}
-	t := &observations{submitted: make(map[string]bool)}
+	obs := &observations{submitted: make(map[string]bool)}
 	loadContext, stopLoad := context.WithTimeout(ctx, d.config.Duration)
 	defer stopLoad()
 	operator := make(chan error, 1)
 	tenant := make(chan error, 1)
 	job := make(chan error, 1)
-	go func() { job <- d.runJob(ctx, t) }()
-	go func() { operator <- d.operateZone(loadContext, t) }()
-	go func() { tenant <- d.submitTasks(loadContext, t) }()
-	d.sendRequests(loadContext, t)
+	go func() { job <- d.runJob(ctx, obs) }()
+	go func() { operator <- d.operateZone(loadContext, obs) }()
+	go func() { tenant <- d.submitTasks(loadContext, obs) }()
+	d.sendRequests(loadContext, obs)
 	if err := <-operator; err != nil {
 		return Summary{}, err
 	}
@@ -54,8 +54,8 @@
 		return Summary{}, err
 	}
 	d.progress("load ended; waiting for the last tasks")
-	d.waitForTasks(ctx, t)
-	return d.summarize(t), nil
+	d.waitForTasks(ctx, obs)
+	return d.summarize(obs), nil
 }
 
 // waitUntilReady applies the fleet text and waits until all VMs are reachable.
@@ -94,20 +94,20 @@
 
 // operateZone takes a zone out of service after a third of the duration and back in after
 // two thirds.
-func (d *Demonstrator) operateZone(ctx context.Context, t *observations) error {
+func (d *Demonstrator) operateZone(ctx context.Context, obs *observations) error {
 	sleep(ctx, d.config.Duration/3)
 	url := d.entries[1] + "/v1/zones/" + zoneOutName
 	if err := d.call(ctx, http.MethodPost, url, []byte(`{"state":"out"}`), nil); err != nil {
 		return fmt.Errorf("take %s out: %w", zoneOutName, err)
 	}
-	t.mu.Lock()
-	t.zoneOut = time.Now()
-	t.mu.Unlock()
+	obs.mu.Lock()
+	obs.zoneOut = time.Now()
+	obs.mu.Unlock()
 	d.progress("%s taken out", zoneOutName)
 	sleep(ctx, d.config.Duration/3)
-	t.mu.Lock()
-	t.zoneIn = time.Now()
-	t.mu.Unlock()
+	obs.mu.Lock()
+	obs.zoneIn = time.Now()
+	obs.mu.Unlock()
 	if err := d.call(ctx, http.MethodPost, url, []byte(`{"state":"in"}`), nil); err != nil {
 		return fmt.Errorf("take %s back in: %w", zoneOutName, err)
 	}
@@ -117,7 +117,7 @@
 
 // submitTasks submits small batches of tasks. It repeats a batch with the same ids
 // after a lost answer or a refusal, which is safe.
-func (d *Demonstrator) submitTasks(ctx context.Context, t *observations) error {
+func (d *Demonstrator) submitTasks(ctx context.Context, obs *observations) error {
 	payload := fmt.Sprintf(`{"run-ms":%d}`, taskTime.Milliseconds())
 	classes := []string{"label-batch", "label-batch", "sorting-run"}
 	tenants := []string{"packhouse", "office"}
@@ -140,24 +140,24 @@
 			}
 			sleep(ctx, 100*time.Millisecond)
 		}
-		t.accept(reply)
+		obs.accept(reply)
 		sleep(ctx, 500*time.Millisecond)
 	}
 	return nil
 }
 
-func (t *observations) accept(reply messenger.SubmitReply) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (o *observations) accept(reply messenger.SubmitReply) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, v := range reply.Results {
 		if v.Accepted {
-			t.submitted[v.ID] = true
+			o.submitted[v.ID] = true
 		}
 	}
 }
 
 // sendRequests sends requests at a fixed rate, independently of their answers.
-func (d *Demonstrator) sendRequests(ctx context.Context, t *observations) {
+func (d *Demonstrator) sendRequests(ctx context.Context, obs *observations) {
 	var callers sync.WaitGroup
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
@@ -165,7 +165,7 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			d.sendRequest(context.WithoutCancel(ctx), t, n)
+			d.sendRequest(context.WithoutCancel(ctx), obs, n)
 		}()
 		if n > 0 && n%500 == 0 {
 			d.progress("%d requests sent", n)
@@ -180,7 +180,7 @@
 
 // sendRequest sends one request with a unique body and checks that the answer is its
 // own and complete: the upstreams echo the body.
-func (d *Demonstrator) sendRequest(ctx context.Context, t *observations, n int) {
+func (d *Demonstrator) sendRequest(ctx context.Context, obs *observations, n int) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	own := bytes.Repeat([]byte(fmt.Sprintf("lot-%06d;", n)), 20)
@@ -197,27 +197,27 @@
 		response.Body.Close()
 		status = response.StatusCode
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sent++
+	obs.mu.Lock()
+	defer obs.mu.Unlock()
+	obs.sent++
 	switch {
 	case err != nil:
 	case status != http.StatusOK:
-		t.refused++
+		obs.refused++
 	case !bytes.Equal(body, own):
-		t.wrong++
+		obs.wrong++
 	default:
-		t.answered++
-		t.latencies = append(t.latencies, time.Since(startedAt))
+		obs.answered++
+		obs.latencies = append(obs.latencies, time.Since(startedAt))
 	}
 }
 
 // waitForTasks waits until the workers have completed all accepted tasks.
-func (d *Demonstrator) waitForTasks(ctx context.Context, t *observations) {
+func (d *Demonstrator) waitForTasks(ctx context.Context, obs *observations) {
 	ctx, cancel := context.WithTimeout(ctx, lastTasksLimit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if w := d.countTasks(t); w.completed >= len(t.submitted) {
+		if w := d.countTasks(obs); w.completed >= len(obs.submitted) {
 			return
 		}
 		sleep(ctx, 100*time.Millisecond)
--- a/internal/demo/demonstrator/summary.go
+++ b/internal/demo/demonstrator/summary.go
@@ -30,7 +30,7 @@
 	LatencyP99Millis  float64 `json:"latency-p99-ms"`
 	StoreCalls        int64   `json:"store-calls"`
 	DurationMillis    int64   `json:"duration-ms"`
-	PromisesKept      bool    `json:"promises-kept"`
+	GuaranteesHold    bool    `json:"promises-kept"`
 	TasksNotCompleted int     `json:"tasks-not-completed"`
 }
 
@@ -40,9 +40,9 @@
 }
 
 // countTasks counts tasks in the events of all workers.
-func (d *Demonstrator) countTasks(t *observations) workerCounts {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Demonstrator) countTasks(obs *observations) workerCounts {
+	obs.mu.Lock()
+	defer obs.mu.Unlock()
 	var w workerCounts
 	completions := make(map[string]int)
 	running := make(map[string]int)
@@ -56,7 +56,7 @@
 			if running[e.Task] > 1 {
 				w.twice++
 			}
-			if e.Zone == zoneOutName && t.isForbiddenStart(e.Time) {
+			if e.Zone == zoneOutName && obs.isForbiddenStart(e.Time) {
 				w.inZoneOut++
 			}
 		case worker.EventCheckpointed:
@@ -73,7 +73,7 @@
 		if n > 1 {
 			w.twice++
 		}
-		if t.submitted[task] {
+		if obs.submitted[task] {
 			w.completed++
 		}
 	}
@@ -81,8 +81,8 @@
 }
 
 // isForbiddenStart reports whether a start in the zone at the given time violates the guarantee.
-func (t *observations) isForbiddenStart(at time.Time) bool {
-	return !t.zoneOut.IsZero() && at.After(t.zoneOut.Add(zoneOutGrace)) && (t.zoneIn.IsZero() || at.Before(t.zoneIn))
+func (o *observations) isForbiddenStart(at time.Time) bool {
+	return !o.zoneOut.IsZero() && at.After(o.zoneOut.Add(zoneOutGrace)) && (o.zoneIn.IsZero() || at.Before(o.zoneIn))
 }
 
 // events returns the events of all workers, oldest first.
@@ -95,25 +95,25 @@
 	return all
 }
 
-func (d *Demonstrator) summarize(t *observations) Summary {
-	w := d.countTasks(t)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	job := d.countJob(t.jobState)
-	sortDurations(t.latencies)
+func (d *Demonstrator) summarize(obs *observations) Summary {
+	w := d.countTasks(obs)
+	obs.mu.Lock()
+	defer obs.mu.Unlock()
+	job := d.countJob(obs.jobState)
+	sortDurations(obs.latencies)
 	s := Summary{
-		RequestsSent: t.sent, RequestsAnswered: t.answered, RequestsRefused: t.refused, RequestsWrong: t.wrong,
-		TasksSubmitted: len(t.submitted), TasksCompleted: w.completed, TasksRunTwice: w.twice,
+		RequestsSent: obs.sent, RequestsAnswered: obs.answered, RequestsRefused: obs.refused, RequestsWrong: obs.wrong,
+		TasksSubmitted: len(obs.submitted), TasksCompleted: w.completed, TasksRunTwice: w.twice,
 		Evictions: w.evictions, StartsInZoneOut: w.inZoneOut, OverCommitted: w.overCommitted,
 		JobState: job.state, JobTasksDone: job.done, JobTasksTwice: job.twice, JobTasksEarly: job.early,
-		LatencyP50Millis: millis(percentile(t.latencies, 0.5)), LatencyP99Millis: millis(percentile(t.latencies, 0.99)),
+		LatencyP50Millis: millis(percentile(obs.latencies, 0.5)), LatencyP99Millis: millis(percentile(obs.latencies, 0.99)),
 		DurationMillis: time.Since(d.startedAt).Milliseconds(),
 	}
 	for _, n := range d.store.Calls().Calls {
 		s.StoreCalls += n
 	}
 	s.TasksNotCompleted = s.TasksSubmitted - s.TasksCompleted
-	s.PromisesKept = s.RequestsWrong == 0 && s.TasksRunTwice == 0 && s.StartsInZoneOut == 0 &&
+	s.GuaranteesHold = s.RequestsWrong == 0 && s.TasksRunTwice == 0 && s.StartsInZoneOut == 0 &&
 		s.OverCommitted == 0 && job.guaranteesHold() && s.TasksNotCompleted == 0 &&
 		s.RequestsAnswered+s.RequestsRefused == s.RequestsSent
 	return s
@@ -135,7 +135,7 @@
 	fmt.Fprintf(table, "VMs\t%d times over-committed\n", s.OverCommitted)
 	fmt.Fprintf(table, "store\t%d calls\n", s.StoreCalls)
 	result := "all guarantees hold"
-	if !s.PromisesKept {
+	if !s.GuaranteesHold {
 		result = "A GUARANTEE WAS VIOLATED"
 	}
 	fmt.Fprintf(table, "result\t%s\n", result)
--- a/internal/fleet/parser/parser.go
+++ b/internal/fleet/parser/parser.go
@@ -125,7 +125,7 @@
 	token.MappingKeyType: "keys that are not plain words are not allowed",
 }
 
-// checkTokens rejects constructs that make a small text expand or slow to parse.
+// checkTokens rejects constructs that let a small text expand or take long to parse.
 // It checks the tokens before any node is built from them.
 func (d *decoder) checkTokens(tokens token.Tokens) bool {
 	if len(tokens) > MaxTokens {
--- a/internal/fleet/validator/dependencies.go
+++ b/internal/fleet/validator/dependencies.go
@@ -48,34 +48,34 @@
 	stack   []string
 }
 
-func (w *cycleFinder) visit(i int) {
-	if w.state[i] != unvisited {
+func (f *cycleFinder) visit(i int) {
+	if f.state[i] != unvisited {
 		return
 	}
-	service := w.checker.Config.Services[i]
-	w.state[i] = inProgress
-	w.stack = append(w.stack, service.Name)
+	service := f.checker.Config.Services[i]
+	f.state[i] = inProgress
+	f.stack = append(f.stack, service.Name)
 	for j, name := range service.DependsOn {
-		next, ok := w.index[name]
+		next, ok := f.index[name]
 		if !ok {
 			continue
 		}
-		if w.state[next] == inProgress {
-			w.checker.add(fmt.Sprintf("services[%d].depends-on[%d]", i, j), "cycle: %s", w.cycle(name))
+		if f.state[next] == inProgress {
+			f.checker.add(fmt.Sprintf("services[%d].depends-on[%d]", i, j), "cycle: %s", f.cycle(name))
 		}
-		w.visit(next)
+		f.visit(next)
 	}
-	w.stack = w.stack[:len(w.stack)-1]
-	w.state[i] = visited
+	f.stack = f.stack[:len(f.stack)-1]
+	f.state[i] = visited
 }
 
 // cycle formats the services from name to the top of the stack, followed by name.
-func (w *cycleFinder) cycle(name string) string {
+func (f *cycleFinder) cycle(name string) string {
 	from := 0
-	for i, s := range w.stack {
+	for i, s := range f.stack {
 		if s == name {
 			from = i
 		}
 	}
-	return strings.Join(append(append([]string{}, w.stack[from:]...), name), " needs ")
+	return strings.Join(append(append([]string{}, f.stack[from:]...), name), " needs ")
 }
--- a/internal/kernel/timekeeper/timekeeper.go
+++ b/internal/kernel/timekeeper/timekeeper.go
@@ -1,7 +1,7 @@
 // Package timekeeper provides a clock that does not jump when the system time is
-// changed and does not stop while the VM is suspended. Leases and deadlines are
-// measured by it: by Go's monotonic clock, a process that was suspended would treat
-// an expired lease as valid, and by the system time, leases could expire too early.
+// changed and does not stop while the VM is suspended. Leases and deadlines use
+// it. With Go's monotonic clock, a process that was suspended would treat an expired
+// lease as valid; with the system time, leases could expire too early.
 package timekeeper
 
 import (
--- a/internal/operator/handler/jobs.go
+++ b/internal/operator/handler/jobs.go
@@ -14,7 +14,7 @@
 type JobAnswer struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
-	State   string  `json:"state,omitempty"` // an tracker.JobState
+	State   string  `json:"state,omitempty"` // a tracker.JobState
 }
 
 // QueueAnswer holds the number of jobs of a queue that have not started.
--- a/internal/operator/handler/messages.go
+++ b/internal/operator/handler/messages.go
@@ -19,14 +19,15 @@
 	OutcomeUnknown     Outcome = "unknown"     // repeat the change with the same change id
 )
 
-// FleetAnswer is the current fleet record.
+// FleetAnswer is the current fleet record, or the fleet text of an earlier version.
 type FleetAnswer struct {
 	Version   int64     `json:"version"`
 	ChangeID  string    `json:"change-id,omitempty"`
 	Text      string    `json:"text"`
 	ZonesOut  []string  `json:"zones-out"` // taken out by command
 	AppliedAt time.Time `json:"applied-at,omitzero"`
-	// Stale is set if the store could not be reached; there may be a newer version.
+	// Stale is set if there may be a newer version: the store could not be reached, or
+	// an earlier version was requested.
 	Stale bool `json:"stale"`
 }
 
--- a/internal/service/hoster/hoster.go
+++ b/internal/service/hoster/hoster.go
@@ -75,15 +75,15 @@
 	defer cancel()
 	started := 0
 	var errs []error
-	for _, s := range endpoints {
-		l, err := net.Listen("tcp", s.address)
+	for _, e := range endpoints {
+		l, err := net.Listen("tcp", e.address)
 		if err != nil {
-			errs = append(errs, fmt.Errorf("listen on %s: %w", s.address, err))
+			errs = append(errs, fmt.Errorf("listen on %s: %w", e.address, err))
 			cancel()
 			break
 		}
 		started++
-		go func() { ended <- serveEndpoint(ctx, stopTimeout, l, s.handler) }()
+		go func() { ended <- serveEndpoint(ctx, stopTimeout, l, e.handler) }()
 	}
 	for range started {
 		errs = append(errs, <-ended)
@@ -129,12 +129,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan error, len(components))
-	for _, p := range components {
+	for _, c := range components {
 		go func() {
-			err := p.run(ctx)
+			err := c.run(ctx)
 			if ctx.Err() == nil {
-				r.Report(reporter.ServiceFailed, reporter.Fields{"service": p.name, "error": fmt.Sprint(err)})
-				ended <- fmt.Errorf("%s ended: %w", p.name, err)
+				r.Report(reporter.ServiceFailed, reporter.Fields{"service": c.name, "error": fmt.Sprint(err)})
+				ended <- fmt.Errorf("%s ended: %w", c.name, err)
 				return
 			}
 			ended <- nil
--- a/internal/standin/storer/calls.go
+++ b/internal/standin/storer/calls.go
@@ -12,8 +12,8 @@
 // maxBodyBytes is the size limit of the body of a call: a value in base64 and its JSON.
 const maxBodyBytes = 2 * keeper.MaxValueBytes
 
-// expiryStep is the interval at which a waiting watch checks for expired leases.
-const expiryStep = 25 * time.Millisecond
+// expiryCheckInterval is the interval at which a waiting watch checks for expired leases.
+const expiryCheckInterval = 25 * time.Millisecond
 
 func (s *Store) routes() {
 	handle(s, keeper.KindGet, false, s.get)
@@ -196,7 +196,7 @@
 		case <-deadline.C:
 			waited = true
 		case <-changed:
-		case <-time.After(expiryStep):
+		case <-time.After(expiryCheckInterval):
 		}
 	}
 }
--- a/internal/wire/messenger/messenger.go
+++ b/internal/wire/messenger/messenger.go
@@ -11,7 +11,7 @@
 	"bamboospread/internal/fleet/describer"
 )
 
-// Names of the methods. The first part names the process that answers.
+// Names of the methods. The part before the slash names the component that answers.
 const (
 	MethodAnnounce     = "entry/announce"  // agent to entry: Announce, AnnounceReply
 	MethodHeartbeat    = "entry/heartbeat" // agent to entry: Heartbeat, AnnounceReply
--- a/internal/wire/messenger/work.go
+++ b/internal/wire/messenger/work.go
@@ -59,7 +59,7 @@
 	Stopping   bool                 `json:"stopping,omitempty"`  // the agent is stopping the run
 	Checkpoint string               `json:"checkpoint,omitempty"`
 	Progress   int                  `json:"progress"` // percent
-	Measure    int64                `json:"measure"`
+	Measure    int64                `json:"measure"`  // tail latency in ms for a long-running task with a target, else CPU use in thousandths of a core
 	Needs      *specifier.Resources `json:"needs,omitempty"`
 }
 
@@ -75,7 +75,7 @@
 	Seq        int64  `json:"seq"`
 	Task       string `json:"task"`
 	Run        int64  `json:"run"`
-	Outcome    string `json:"how"` // an tracker.End
+	Outcome    string `json:"how"` // a tracker.End
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
@@ -166,7 +166,7 @@
 // job, which does not prove that it was never accepted.
 type WorkStateReply struct {
 	Known bool   `json:"known"`
-	State string `json:"state,omitempty"` // an tracker.JobState
+	State string `json:"state,omitempty"` // a tracker.JobState
 }
 
 // WorkPendingRequest asks how many jobs of a queue have not started.
--- a/tests/integration/control_testbed_test.go
+++ b/tests/integration/control_testbed_test.go
@@ -17,7 +17,7 @@
 	"bamboospread/tests/harness"
 )
 
-// Short leases keep these tests short; the promises hold for any lease times.
+// Short leases keep these tests short; the guarantees hold for any lease times.
 const (
 	testOwnerLease  = 2 * time.Second
 	testVMLease     = 2 * time.Second
--- a/tests/integration/fleet_versions_test.go
+++ b/tests/integration/fleet_versions_test.go
@@ -95,24 +95,24 @@
 		processes = append(processes, vm.Agent)
 	}
 	for _, p := range processes {
-		held, taken := int64(0), 0
+		current, applied := int64(0), 0
 		for _, line := range p.LogLines() {
 			switch {
 			case strings.Contains(line, fmt.Sprintf(" event=%d ", reporter.Listening)):
-				held = 0 // started
+				current = 0 // started
 			case strings.Contains(line, fmt.Sprintf(" event=%d ", reporter.FleetVersionApplied)):
 				var version int64
 				if _, err := fmt.Sscanf(line[strings.LastIndex(line, "version="):], "version=%d", &version); err != nil {
 					t.Fatalf("%s: %v", line, err)
 				}
-				if version <= held {
-					t.Errorf("%s took version %d after %d", p.Name, version, held)
+				if version <= current {
+					t.Errorf("%s applied version %d after %d", p.Name, version, current)
 				}
-				held = version
-				taken++
+				current = version
+				applied++
 			}
 		}
-		if taken == 0 {
+		if applied == 0 {
 			t.Errorf("%s logged no version", p.Name)
 		}
 	}
--- a/tests/integration/fleet_zone_test.go
+++ b/tests/integration/fleet_zone_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// startLimit is the promise: no task starts later than this after the change was
+	// startLimit is guaranteed: no task starts later than this after the change was
 	// accepted.
 	startLimit = 3 * time.Second
 	zoneTasks  = 2000
--- a/tests/integration/request_answers_test.go
+++ b/tests/integration/request_answers_test.go
@@ -56,7 +56,7 @@
 		}
 	})
 	good := count(total, func(r response) bool { return r.outcome == messenger.OutcomeRun && r.status == http.StatusOK })
-	t.Logf("%s; %.3f complete", summarise(total), float64(good)/float64(len(total)))
+	t.Logf("%s; %.3f complete", summarize(total), float64(good)/float64(len(total)))
 	if good < len(total)/2 {
 		t.Errorf("only %d of %d requests were answered, too few for a meaningful test", good, len(total))
 	}
@@ -101,7 +101,7 @@
 		}
 	})
 	refused := count(total, func(r response) bool { return r.outcome == messenger.OutcomeNotRun })
-	t.Logf("%s; %d requests beyond the slots after agents were killed", summarise(total), overloads)
+	t.Logf("%s; %d requests beyond the slots after agents were killed", summarize(total), overloads)
 	for _, vm := range b.VMs {
 		if most := b.maxConnections(vm); most > 64 {
 			t.Errorf("%s had %d simultaneous connections", vm.Name, most)
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -125,7 +125,7 @@
 		all := stop()
 		total = append(total, all...)
 		b.t.Run(nameOf(faults), func(t *testing.T) {
-			t.Log(summarise(all))
+			t.Log(summarize(all))
 			check(t, all)
 		})
 		b.awaitRecovery()
--- a/tests/integration/request_leaving_test.go
+++ b/tests/integration/request_leaving_test.go
@@ -238,6 +238,6 @@
 		f()
 	}
 	time.Sleep(800 * time.Millisecond)
-	t.Log(summarise(stop()))
+	t.Log(summarize(stop()))
 	group.Wait()
 }
--- a/tests/integration/request_once_test.go
+++ b/tests/integration/request_once_test.go
@@ -120,17 +120,17 @@
 				t.Errorf("%s through %s: %s", r.request.path, r.entry, problem)
 			}
 		}
-		t.Log(summariseKeys(all))
+		t.Log(summarizeKeys(all))
 	})
-	t.Log("all scenarios: ", summarise(total), "; ", summariseKeys(total))
+	t.Log("all scenarios: ", summarize(total), "; ", summarizeKeys(total))
 	if count(total, func(r response) bool { return r.replayed }) == 0 {
 		t.Error("no answer was replayed, so replays are not tested")
 	}
 }
 
-// summariseKeys counts the outcomes of the keys for their callers: run if any answer was
+// summarizeKeys counts the outcomes of the keys for their callers: run if any answer was
 // run, else unknown if any answer was unknown or lost, else refused.
-func summariseKeys(all []response) string {
+func summarizeKeys(all []response) string {
 	ends := make(map[string]string)
 	for _, r := range all {
 		if r.request.key == "" {
--- a/tests/integration/request_stop_test.go
+++ b/tests/integration/request_stop_test.go
@@ -87,7 +87,7 @@
 			b.rollingRestart(c.agents)
 			all := stop()
 			b.ClearFaults()
-			t.Log(summarise(all))
+			t.Log(summarize(all))
 			for _, r := range all {
 				if r.err != nil || r.outcome == messenger.OutcomeUnknown {
 					t.Errorf("%s %s through %s was interrupted after %s: %d %s %s %v", r.request.method, r.request.path, r.entry, r.took, r.status, r.outcome, r.body, r.err)
--- a/tests/integration/request_testbed_test.go
+++ b/tests/integration/request_testbed_test.go
@@ -310,8 +310,8 @@
 func byKey(r responder.Run) string       { return r.IdempotencyKey }
 func byPath(r responder.Run) string      { return r.Path }
 
-// summarise counts responses by outcome; those without one count as broken connections.
-func summarise(all []response) string {
+// summarize counts responses by outcome; those without one count as broken connections.
+func summarize(all []response) string {
 	counts := make(map[string]int)
 	for _, r := range all {
 		switch {
--- a/tests/measure/fleet_test.go
+++ b/tests/measure/fleet_test.go
@@ -136,7 +136,7 @@
 	return lags
 }
 
-// zoneResult summarises the events that the workers recorded in one run.
+// zoneResult summarizes the events that the workers recorded in one run.
 type zoneResult struct {
 	completed, evicted, tasksTwice int
 	redoneMillis                   int64 // work done more than once after evictions
--- a/tests/soak/callers_test.go
+++ b/tests/soak/callers_test.go
@@ -19,7 +19,7 @@
 	retryPause     = 100 * time.Millisecond
 	maxLongRunning = 14 // long-running jobs at a time, so that they fit on the VMs
 	stateDone      = "done"
-	stateCanceled  = "cancelled"
+	stateCancelled = "cancelled"
 )
 
 // record is the state of a job according to the answers to its callers.
--- a/tests/soak/history_checks_test.go
+++ b/tests/soak/history_checks_test.go
@@ -9,8 +9,8 @@
 	"bamboospread/internal/standin/executor"
 )
 
-// Each kind of broken promise must be found, and similar but correct histories must not
-// be reported.
+// Each kind of violation must be found, and similar but correct histories must not be
+// reported.
 func TestChecksFindViolations(t *testing.T) {
 	const job = "00000000000004d2"
 	start := time.Now().Add(-time.Minute)
@@ -88,7 +88,7 @@
 		{"long-running task that does not run", record{spec: longRunning, accepted: now}, 1},
 		{"cancellation not acknowledged", record{spec: short, accepted: now, cancelRequested: true}, 1},
 		{"cancelled and still running", record{spec: short, accepted: now, cancelRequested: true, acked: now, state: "running"}, 1},
-		{"cancelled", record{spec: longRunning, accepted: now, cancelRequested: true, acked: now, state: stateCanceled}, 0},
+		{"cancelled", record{spec: longRunning, accepted: now, cancelRequested: true, acked: now, state: stateCancelled}, 0},
 	}
 	for _, tt := range tests {
 		h := newHistory(nil, nil, nil, nil, map[string]record{longRunning.ID: tt.record}, now)
--- a/tests/soak/history_test.go
+++ b/tests/soak/history_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// check returns the promises that were broken so far.
+// check returns the violations of guarantees so far.
 func (h *history) check() []string {
 	found := slices.Concat(h.checkCapacity(), h.checkDone())
 	for task, runs := range h.tasks {
@@ -133,7 +133,7 @@
 // checkStopped checks that after the deadline no task of a cancelled job, or of a job
 // that was shown as done, runs or starts.
 func (h *history) checkStopped(j record, runs []*span) (found []string) {
-	for what, at := range map[string]time.Time{stateCanceled: j.acked, stateDone: j.done} {
+	for what, at := range map[string]time.Time{stateCancelled: j.acked, stateDone: j.done} {
 		by, ok := h.effectDeadline(at)
 		for _, s := range runs {
 			if !at.IsZero() && ok && s.runsAfter(by) {
@@ -255,7 +255,7 @@
 		case j.cancelRequested && j.acked.IsZero():
 			found = append(found, fmt.Sprintf("settled: cancellation of job %s is not acknowledged", id))
 		case j.accepted.IsZero():
-		case j.cancelRequested && j.state != stateCanceled && j.state != stateDone, !j.cancelRequested && !j.spec.LongRunning() && j.done.IsZero():
+		case j.cancelRequested && j.state != stateCancelled && j.state != stateDone, !j.cancelRequested && !j.spec.LongRunning() && j.done.IsZero():
 			found = append(found, fmt.Sprintf("accepted: job %s is %s", id, j.state))
 		case !j.cancelRequested && j.spec.LongRunning():
 			for _, task := range tasksOf(j.spec) {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -39,7 +39,7 @@
 
 // TestSoak submits, polls and cancels jobs while processes stop, freeze and lose their
 // connections, several at a time. Everything that was acknowledged must hold in the end,
-// and no promise may be broken in between. SOAK_SEEDS selects other seeds, such as 7,
+// and no guarantee may be violated in between. SOAK_SEEDS selects other seeds, such as 7,
 // 1..50 or 7,9,20..30, or with "kept" all seeds that have failed before.
 func TestSoak(t *testing.T) {
 	for _, seed := range seedsToRun(t) {
@@ -151,7 +151,7 @@
 }
 
 // checkFinalState waits until all accepted requests have taken effect, then cancels the
-// long-running jobs. It returns what did not take effect and which promises were broken.
+// long-running jobs. It returns what did not take effect and which guarantees were violated.
 func (b *testbed) checkFinalState(seedCtx context.Context) []string {
 	c := b.callers[0]
 	unfinished := b.awaitOutcomes(seedCtx)
@@ -170,7 +170,7 @@
 	c := b.callers[0]
 	for until := time.Now().Add(completionBound); time.Now().Before(until) && seedCtx.Err() == nil; wait(seedCtx, pollInterval) {
 		for _, id := range b.registry.jobIDs(func(r *record) bool {
-			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCanceled && (r.cancelRequested || !r.spec.LongRunning())
+			return !r.accepted.IsZero() && r.done.IsZero() && r.state != stateCancelled && (r.cancelRequested || !r.spec.LongRunning())
 		}) {
 			c.checkState(seedCtx, id)
 		}
