--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -60,9 +60,9 @@
 	Store   keeper.Calls
 	Lease   time.Duration // 0: DefaultLease
 	Grant   time.Duration // 0: DefaultGrant
-	// ClaimDelay is how long a vacant cell is left to other entries before this one claims it.
-	ClaimDelay time.Duration
-	Policy     func() *specifier.Policy
+	// AcquireDelay is how long a vacant cell is left to other entries before this one acquires it.
+	AcquireDelay time.Duration
+	Policy       func() *specifier.Policy
 	// PolicyAge returns the time since the policy was last confirmed to be the newest; nil if
 	// it always is.
 	PolicyAge func() time.Duration
@@ -97,7 +97,7 @@
 		c.PolicyAge = func() time.Duration { return 0 }
 	}
 	e := elector.New(elector.Config{
-		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, AcquireDelay: c.ClaimDelay,
+		Cell: c.Cell, EntryID: c.EntryID, Address: c.Address, Lease: c.Lease, Now: c.Now, ReplaceOwnRecord: true, AcquireDelay: c.AcquireDelay,
 		FindRecords: c.Store.FindRecords, GetRecord: c.Store.GetRecord, CompareAndSwap: c.Store.CompareAndSwap, GrantLease: c.Store.GrantLease,
 		KeepAlive: c.Store.KeepAlive, RevokeLease: c.Store.RevokeLease, Watch: c.Store.Watch,
 	})
--- a/internal/service/hoster/entry.go
+++ b/internal/service/hoster/entry.go
@@ -69,8 +69,8 @@
 			return e.receiver.StoreForEntry(ctx, q)
 		},
 		Grant: min(scheduler.DefaultGrant, c.Settings.LeaseMax), Lease: max(scheduler.DefaultLease, c.Settings.StoreLeaseMin),
-		ClaimDelay: claimDelay(c.Settings),
-		Now:        now, Reporter: c.Reporter, Metrics: scheduler.NewMetrics(e.metrics),
+		AcquireDelay: acquireDelay(c.Settings),
+		Now:          now, Reporter: c.Reporter, Metrics: scheduler.NewMetrics(e.metrics),
 	})
 	e.forwarder = forwarder.New(forwarder.Config{Self: self, Owner: e.scheduler.Owner, Handle: e.scheduler.Handle, Reporter: c.Reporter})
 	e.receiver = receiver.New(receiver.Config{
@@ -79,21 +79,21 @@
 	return e
 }
 
-// Minimum VM size for an entry that claims a vacant cell without delay. The owner of 70
+// Minimum VM size for an entry that acquires a vacant cell without delay. The owner of 70
 // VMs reads reports of about 300 KB a second and uses up to a tenth of a core; on the
 // smallest VMs of the users (0.192 of a core, 10 Mbit/s) callers would delay both.
 const (
 	minOwnerCores    = 0.4
 	minOwnerLinkMbps = 100
-	// ownerClaimDelay is how long an entry on a smaller VM leaves a vacant cell to other
-	// entries, which notice it within some milliseconds and claim it with three calls.
-	ownerClaimDelay = 400 * time.Millisecond
+	// ownerAcquireDelay is how long an entry on a smaller VM leaves a vacant cell to other
+	// entries, which notice it within some milliseconds and acquire it with three calls.
+	ownerAcquireDelay = 400 * time.Millisecond
 )
 
-func claimDelay(s *platform.Settings) time.Duration {
+func acquireDelay(s *platform.Settings) time.Duration {
 	small := s.Cores > 0 && s.Cores < minOwnerCores || s.LinkMbps > 0 && s.LinkMbps < minOwnerLinkMbps
 	if small {
-		return ownerClaimDelay
+		return ownerAcquireDelay
 	}
 	return 0
 }
