--- a/internal/kernel/reporter/catalogue_job.go
+++ b/internal/kernel/reporter/catalogue_job.go
@@ -113,7 +113,7 @@
 	{StartRejected, log.WarnLevel, "start rejected", "The run will not start here; the reason says why."},
 	{StartUnanswered, log.WarnLevel, "start not answered", "The worker did not answer a start. Its task waits until a status poll shows the run or shows that the start can't be carried out any more."},
 	{StopUnanswered, log.WarnLevel, "stop not answered", "The worker did not answer a stop; it is repeated."},
-	{PaceFailed, log.WarnLevel, "pace not set", "The worker did not apply a new speed of a run; the owner orders it again."},
+	{PaceFailed, log.WarnLevel, "pace not set", "The worker did not answer a new speed of a run or refused it for now; the agent repeats the order until the worker accepts it or refuses it for good."},
 	{OrdersExpired, log.WarnLevel, "orders expired", "Orders of an ended session, of an earlier owner or for another incarnation of the worker were not carried out; the fields that differ from the current values show which."},
 	{OrderMalformed, log.ErrorLevel, "order malformed", "An order can't be read and was not carried out."},
 	{OwnerAccepted, log.InfoLevel, "new owner accepted", "This agent follows the orders of an owner with a higher epoch from now on."},
