--- a/internal/job/planner/advise.go
+++ b/internal/job/planner/advise.go
@@ -26,7 +26,7 @@
 // NextAdviceRequest returns the most urgent request for the advising service, if there is one:
 // for a step without a valid ticket for any usable VM with enough free capacity. VMs with the
 // most free capacity come first. VMs that already have an answer without a valid ticket come
-// last.
+// last, so that the next request names others.
 func NextAdviceRequest(in Input) (AdviceRequest, bool) {
 	for _, s := range order(in, in.State.WaitingSteps(in.Now)) {
 		if !s.Occurrence.Job.Queue.Advised || in.Now.Before(s.AdviseAt) {
--- a/internal/job/planner/evict_test.go
+++ b/internal/job/planner/evict_test.go
@@ -11,7 +11,7 @@
 // Guards against best-effort tasks that are stalled for ten seconds while another VM has
 // capacity: a long-running task has started on their VM, or its load has risen, and they were
 // throttled to almost nothing. They are stopped and continue on another VM, unless there is no
-// such VM, they are throttled only a little, or too much of their work would be lost.
+// such VM, they are throttled only a little or only briefly, or too much of their work would be lost.
 func TestStarvedTasksAreEvicted(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/internal/job/planner/move.go
+++ b/internal/job/planner/move.go
@@ -31,8 +31,8 @@
 	// their pairs with other VMs in total, so that a round costs about the same on any fleet.
 	maxVMsExamined   = 12
 	maxPairsExamined = 320
-	// moveTimeout is how long after the end of its hold a moving task is waited for before
-	// others may move.
+	// moveTimeout is how long after the end of its hold a moving task still keeps others from
+	// moving.
 	moveTimeout = 3 * time.Second
 	// moveHold is how long capacity on the destination VM is held for a moving task after its
 	// run has ended.
--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -26,8 +26,8 @@
 	// longRunningUtilization is the share of their declared processors that long-running tasks
 	// use on average.
 	longRunningUtilization = 0.5
-	// tooLateFactor times its objective is the time since a job was due after which it has no
-	// value for its caller any more.
+	// tooLateFactor is how many times its objective a job may take, from when it was due, before
+	// it has no value for its caller any more.
 	tooLateFactor = 3
 	// maxStarts bounds one round, so that a large burst does not delay reports.
 	maxStarts = 64
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -20,11 +20,11 @@
 	// returnAfterPressure is the same while urgent tasks wait for capacity: another
 	// long-running task then has to stop in its place.
 	returnAfterPressure = 6 * time.Second
-	// maxReservations is for how many tasks a round reserves capacity. On a larger fleet it is
-	// one for every vmsPerReservation VMs. The tasks that have waited longest come first.
+	// maxReservations is the number of tasks that a round reserves capacity for. On a larger
+	// fleet it is one for every vmsPerReservation VMs. The tasks that have waited longest come first.
 	maxReservations   = 8
 	vmsPerReservation = 4
-	// maxPreemptions is for how many long-running tasks a round stops best-effort runs.
+	// maxPreemptions is the number of long-running tasks that a round stops best-effort runs for.
 	maxPreemptions = 4
 )
 
@@ -64,9 +64,9 @@
 	return starts
 }
 
-// overdueTasks returns the overdue tasks, those first that have been unavailable longest. In
-// the order of their jobs, tasks of old jobs that yield again and again would keep the others
-// from starting.
+// overdueTasks returns the overdue tasks, those first that have been unavailable longest. If
+// they were sorted by the age of their jobs, tasks of old jobs that yield again and again would
+// keep the others from starting.
 func (r *round) overdueTasks(steps []*tracker.Step) (found []*tracker.Task) {
 	for _, s := range steps {
 		if !s.Spec.LongRunning {
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -41,9 +41,9 @@
 	// minutes; late repeats of a submission arrive within seconds.
 	endedJobRetention   = 10 * time.Minute
 	removeEndedInterval = time.Minute
-	// memberExpiryFactor times the longest lease is the time without a report after which a VM
-	// is no longer a member: nothing can still run there. Each member that was lost for good
-	// makes the next owner wait for it.
+	// memberExpiryFactor is how many times the longest lease a VM may go without a report
+	// before it is removed from the members: nothing can still run there then. Each member that was
+	// lost for good makes the next owner wait for it.
 	memberExpiryFactor = 2
 	eventBuffer        = 256
 	// minFlushInterval is the shortest time between writes of progress; without it, almost
--- a/internal/job/scheduler/writer_test.go
+++ b/internal/job/scheduler/writer_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Guards against a replaced owner that repeats its write: the store may report the failed fence
-// only as the current record of the conflict, under the key of another record.
+// Guards against a replaced owner that repeats its write: a conflict may name the key of another
+// record, so that only the record returned with it shows that the fence has failed.
 func TestReplacedOwnerDoesNotRetryWrite(t *testing.T) {
 	s, w := newLateStore()
 	s.records["owner"] = keeper.Record{Key: "owner", Revision: 2}
--- a/internal/worker/driver/driver.go
+++ b/internal/worker/driver/driver.go
@@ -259,7 +259,8 @@
 	return err
 }
 
-// errStatus is a response of the worker with a status other than 200.
+// errStatus is a response of the worker with a status other than 200. Unless it is wrapped in
+// ErrUnavailable or ErrOutcomeUnknown, it is a definite answer of the worker.
 type errStatus struct {
 	code int
 	text string
