--- a/internal/job/planner/planner.go
+++ b/internal/job/planner/planner.go
@@ -17,8 +17,8 @@
 // Limits of placement.
 const (
 	// overcommitAlone is how many processors best-effort tasks may ask for, as a multiple of
-	// the idle processors of a VM without long-running tasks. Declared sizes are peaks, so
-	// some overcommitment keeps the VM busy.
+	// the idle processors of a VM without long-running tasks. Best-effort tasks use only what
+	// is idle, and declared sizes are peaks, so some overcommitment keeps the VM busy.
 	overcommitAlone = 2.0
 	// overcommitColocated is the same on a VM with long-running tasks, with which they would
 	// interfere.
--- a/internal/job/planner/reservation.go
+++ b/internal/job/planner/reservation.go
@@ -20,11 +20,13 @@
 	// returnAfterPressure is the same while urgent tasks wait for capacity: another
 	// long-running task then has to stop in its place.
 	returnAfterPressure = 6 * time.Second
-	// maxReservations is for how many tasks a round reserves capacity. On a larger fleet it is
-	// one for every vmsPerReservation VMs. The tasks that have waited longest come first.
+	// maxReservations is the largest number of tasks that a round reserves capacity for. On a
+	// larger fleet the limit is one task for every vmsPerReservation VMs, if that is more. The
+	// tasks that have waited longest come first.
 	maxReservations   = 8
 	vmsPerReservation = 4
-	// maxPreemptions is for how many long-running tasks a round stops best-effort runs.
+	// maxPreemptions is the largest number of long-running tasks that a round stops
+	// best-effort runs for.
 	maxPreemptions = 4
 )
 
--- a/internal/job/planner/rotation.go
+++ b/internal/job/planner/rotation.go
@@ -10,8 +10,9 @@
 // urgent tasks together. Overdue long-running tasks would take the place of urgent tasks,
 // which end soon and gain more. Instead, they take the place of other long-running tasks.
 const (
-	// maxRotations bounds a round. On a large fleet it is one for every vmsPerRotation VMs:
-	// many tasks are lost together, and become overdue together.
+	// maxRotations bounds a round. On a large fleet the limit is one rotation for every
+	// vmsPerRotation VMs, if that is more: many tasks are lost together, and become overdue
+	// together.
 	maxRotations   = 4
 	vmsPerRotation = 10
 	// rotationHold is how long the capacity of a rotation is held after the decision: a stop
--- a/internal/operator/tallier/report.go
+++ b/internal/operator/tallier/report.go
@@ -23,7 +23,7 @@
 	Turnaround       Distribution  `json:"turnaround"`  // of jobs that are done
 	WaitTime         time.Duration `json:"waiting-ns"`  // of all tasks, until they start
 	RunTime          time.Duration `json:"working-ns"`  // of all runs that ended
-	UnsuccessfulRuns int           `json:"redone"`      // runs that ended other than done
+	UnsuccessfulRuns int           `json:"redone"`      // runs that did not end as done
 }
 
 // Distribution summarizes a set of durations.
--- a/internal/operator/tallier/tallier.go
+++ b/internal/operator/tallier/tallier.go
@@ -44,7 +44,7 @@
 	starts           int
 	runs             map[string]time.Time // time of the start decision, by task and run
 	runTime          time.Duration        // sum over its runs
-	unsuccessfulRuns int                  // runs that ended other than done
+	unsuccessfulRuns int                  // runs that did not end as done
 }
 
 // New returns an empty Tallier.
--- a/internal/request/receiver/route.go
+++ b/internal/request/receiver/route.go
@@ -20,9 +20,9 @@
 	maxFullPause    = 2 * time.Millisecond
 	noUpstreamPause = 20 * time.Millisecond
 	minAttemptTime  = 20 * time.Millisecond
-	// attemptLatencyMultiple limits shortened first attempts: the timeout of a first
-	// attempt is only reduced, to leave time for another upstream, if the rest is at
-	// least this multiple of the typical latency.
+	// attemptLatencyMultiple limits when a first attempt gets only half of the time
+	// left, so that another upstream can be tried: that half must be at least this
+	// multiple of the typical latency.
 	attemptLatencyMultiple = 4
 	// slotRetryPeriod is how long after its arrival an admitted request is retried while
 	// upstreams are full. Entries admit requests without knowing each other's latest
